--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -21,39 +21,41 @@
 
 Millis to_millis(std::int64_t micros) { return static_cast<Millis>(micros) / 1000.0; }
 
-constexpr std::array<Word<Ending>, 8> endings{{{"delivered", Ending::answered},
-                                               {"app_error", Ending::error},
-                                               {"shed", Ending::refused},
-                                               {"expired", Ending::timed_out},
-                                               {"dial_failed", Ending::not_connected},
-                                               {"dropped", Ending::broken},
-                                               {"revoked", Ending::called_off},
-                                               {"unused", Ending::not_sent}}};
-constexpr std::array<Word<Standing>, 3> standings{
-    {{"ready", Standing::listed}, {"draining", Standing::draining}, {"gone", Standing::gone}}};
+constexpr std::array<EnumName<TransmissionResult>, 8> endings{
+    {{"delivered", TransmissionResult::answered},
+     {"app_error", TransmissionResult::error},
+     {"shed", TransmissionResult::refused},
+     {"expired", TransmissionResult::timed_out},
+     {"dial_failed", TransmissionResult::not_connected},
+     {"dropped", TransmissionResult::connection_lost},
+     {"revoked", TransmissionResult::canceled},
+     {"unused", TransmissionResult::not_sent}}};
+constexpr std::array<EnumName<EndpointStatus>, 3> standings{{{"ready", EndpointStatus::ready},
+                                                             {"draining", EndpointStatus::draining},
+                                                             {"gone", EndpointStatus::gone}}};
 
 }  // namespace
 
 std::string_view Fields::word(const char* what) {
-  if (rest_.empty()) throw Fault(std::string(what) + " is missing");
-  auto found = cut(rest_, ' ');
-  if (found.empty()) throw Fault(std::string(what) + " is empty");
+  if (rest_.empty()) throw ParseError(std::string(what) + " is missing");
+  auto found = next_token(rest_, ' ');
+  if (found.empty()) throw ParseError(std::string(what) + " is empty");
   return found;
 }
 
 std::int64_t Fields::integer(const char* what, std::int64_t low, std::int64_t high) {
-  return to_integer(word(what), what, low, high);
+  return parse_integer(word(what), what, low, high);
 }
 
 std::int64_t Fields::integer_or(const char* what, std::int64_t low, std::int64_t high, std::int64_t absent) {
   auto text = word(what);
-  return text == "-" ? absent : to_integer(text, what, low, high);
+  return text == "-" ? absent : parse_integer(text, what, low, high);
 }
 
-bool Fields::flag(const char* what) { return to_flag(word(what), what); }
+bool Fields::flag(const char* what) { return parse_flag(word(what), what); }
 
 void Fields::end() {
-  if (!rest_.empty()) throw Fault("more on the line than expected: " + quoted(rest_));
+  if (!rest_.empty()) throw ParseError("more on the line than expected: " + quote_excerpt(rest_));
 }
 
 bool Host::next_line() {
@@ -68,7 +70,7 @@
     if (line_.empty()) continue;
     Fields fields(line_);
     auto name = fields.word("message");
-    if (name != "turn") throw Fault("a batch opens with 'turn', not " + quoted(name));
+    if (name != "turn") throw ParseError("a batch opens with 'turn', not " + quote_excerpt(name));
     auto clock = fields.integer("clock", 0, exact_end);
     auto number = fields.integer("batch number", 0, exact_end);
     fields.end();
@@ -79,8 +81,8 @@
 void Host::turn(std::int64_t clock, std::int64_t number) {
   acting_.clear();
   while (true) {
-    if (!next_line()) throw Fault("the input ends inside a batch");
-    if (line_.empty()) throw Fault("an empty line inside a batch");
+    if (!next_line()) throw ParseError("the input ends inside a batch");
+    if (line_.empty()) throw ParseError("an empty line inside a batch");
     Fields fields(line_);
     auto name = fields.word("message");
     if (name == "eob") {
@@ -111,8 +113,9 @@
 Host::Instance& Host::instance_of(Fields& fields, std::int64_t clock) {
   auto relay = static_cast<int>(fields.integer("instance", 0, std::numeric_limits<int>::max()));
   auto found = instances_.find(relay);
-  if (found == instances_.end()) throw Fault("unknown instance: " + std::to_string(relay));
-  if (acting_.insert(relay).second) guarded(found->second, [&](Decision& d) { d.begin(to_millis(clock)); });
+  if (found == instances_.end()) throw ParseError("unknown instance: " + std::to_string(relay));
+  if (acting_.insert(relay).second)
+    guarded(found->second, [&](Decision& d) { d.begin_turn(to_millis(clock)); });
   return found->second;
 }
 
@@ -121,14 +124,14 @@
   if (name == "power_on") return power_on(fields, clock);
   if (name == "retire") {
     auto relay = static_cast<int>(fields.integer("instance", 0, std::numeric_limits<int>::max()));
-    if (!instances_.erase(relay)) throw Fault("unknown instance: " + std::to_string(relay));
+    if (!instances_.erase(relay)) throw ParseError("unknown instance: " + std::to_string(relay));
     acting_.erase(relay);
     return fields.end();
   }
   constexpr std::array<std::string_view, 7> known{"update", "arrival",     "health", "opened",
                                                   "reply",  "client_left", "wakeup"};
   if (name != "message" && std::find(known.begin(), known.end(), name) == known.end())
-    throw Fault("unknown message: " + quoted(name));
+    throw ParseError("unknown message: " + quote_excerpt(name));
   Instance& instance = instance_of(fields, clock);
   if (name == "update") {
     update(fields, instance);
@@ -140,16 +143,16 @@
     auto key = fields.integer_or("key", 0, exact_end, -1);
     doc.has_key = key >= 0;
     doc.key = KeyId(doc.has_key ? key : 0);
-    doc.left = to_millis(fields.integer("leftUs", -exact_end, exact_end));
+    doc.time_left = to_millis(fields.integer("leftUs", -exact_end, exact_end));
     fields.integer_or("expectedUs", 0, exact_end, 0);
     doc.destination = DestinationId(fields.integer("addresseeNo", 0, exact_end));
     fields.integer_or("marks", 0, id_end, 0);
-    guarded(instance, [&](Decision& d) { d.take(doc); });
+    guarded(instance, [&](Decision& d) { d.accept(doc); });
   } else if (name == "health") {
-    one_of(endings, fields.word("ending"), "ending");
+    parse_enum(endings, fields.word("ending"), "ending");
     fields.integer("delaySeenUs", 0, exact_end);
     endpoint_id(fields.word("endpoint"));
-    if (!fields.at_end()) hints_of(fields.word("healthInfo"), ':');
+    if (!fields.at_end()) parse_hints(fields.word("healthInfo"), ':');
   } else if (name == "opened") {
     fields.integer("opId", 0, id_end - 1);
     fields.integer("trial", 0, id_end);
@@ -168,9 +171,9 @@
     auto data = fields.word("data");
     if (instance.notes)
       guarded(instance, [&](Decision& d) {
-        instance.notes->begin(to_millis(clock));
-        instance.notes->heard(peer::unpacked<fleet::Datagram>(from_base64(data)));
-        for (const auto& known : instance.notes->learned()) d.learn(known);
+        instance.notes->begin_turn(to_millis(clock));
+        instance.notes->on_datagram(peer::unpacked<fleet::RouteDatagram>(base64_decode(data)));
+        for (const auto& known : instance.notes->take_reports()) d.apply_route_status(known);
       });
   }
   fields.end();
@@ -179,23 +182,23 @@
 void Host::power_on(Fields& fields, std::int64_t clock) {
   auto relay = static_cast<int>(fields.integer("instance", 0, std::numeric_limits<int>::max()));
   auto salt = static_cast<std::uint64_t>(fields.integer("salt", 0, std::numeric_limits<std::int64_t>::max()));
-  Pairs pairs(fields.text());
+  KeyValues pairs(fields.text());
   auto settings = decode_settings(pairs);
   instances_.erase(relay);
-  auto kinds = static_cast<int>(settings.kinds.size());
+  auto kinds = static_cast<int>(settings.destination_kinds.size());
   auto doc_types = static_cast<int>(settings.doc_types.size());
-  auto& instance =
-      instances_
-          .emplace(relay, Instance{Decision::make(settings, salt),
-                                   with_notes_ && pairs.flag("limits.peerMessages") ? fleet::Notes::make(salt)
-                                                                                    : nullptr,
-                                   kinds,
-                                   doc_types,
-                                   -1,
-                                   {}})
-          .first->second;
+  auto& instance = instances_
+                       .emplace(relay, Instance{Decision::make(settings, salt),
+                                                with_notes_ && pairs.flag("limits.peerMessages")
+                                                    ? fleet::RouteGossip::make(salt)
+                                                    : nullptr,
+                                                kinds,
+                                                doc_types,
+                                                -1,
+                                                {}})
+                       .first->second;
   acting_.insert(relay);
-  guarded(instance, [&](Decision& d) { d.begin(to_millis(clock)); });
+  guarded(instance, [&](Decision& d) { d.begin_turn(to_millis(clock)); });
 }
 
 void Host::register_list(Fields& fields) {
@@ -205,18 +208,19 @@
   auto& list = lists_[slot];
   list.clear();
   for (std::int64_t i = 0; i < count; ++i) {
-    if (!next_line()) throw Fault("the input ends inside a list");
+    if (!next_line()) throw ParseError("the input ends inside a list");
     Fields row(line_);
-    if (line_.empty() || row.word("entry") != "entry") throw Fault("fewer entries than the list announces");
+    if (line_.empty() || row.word("entry") != "entry")
+      throw ParseError("fewer entries than the list announces");
     EndpointEntry entry;
     row.integer_or("startedAtUs", 0, exact_end, 0);
     entry.endpoint = endpoint_id(row.word("endpoint"));
-    entry.standing = one_of(standings, row.word("condition"), "condition");
+    entry.status = parse_enum(standings, row.word("condition"), "condition");
     entry.destination = DestinationId(row.integer("ownerNo", 0, exact_end));
-    entry.kind = KindId(row.integer_or("machine", 0, id_end, 0));
+    entry.kind = DestinationKindId(row.integer_or("machine", 0, id_end, 0));
     auto scale = row.word("scale");
-    entry.listed_rate = scale == "-" ? 0 : to_number(scale, "scale");
-    entry.hall = HallId(row.integer_or("dc", 0, id_end, 0));
+    entry.listed_rate = scale == "-" ? 0 : parse_number(scale, "scale");
+    entry.zone = ZoneId(row.integer_or("dc", 0, id_end, 0));
     row.end();
     list.push_back(entry);
   }
@@ -226,19 +230,19 @@
   auto scope = fields.word("scope");
   if (scope == "FAILED") {
     fields.text();
-    guarded(instance, [](Decision& d) { d.list_failed(false, 0); });
+    guarded(instance, [](Decision& d) { d.discovery_failed(false, 0); });
     return;
   }
   if (scope != "INCREMENTAL" && scope != "FULL" && scope != "SAVED")
-    throw Fault("unknown scope: " + quoted(scope));
+    throw ParseError("unknown scope: " + quote_excerpt(scope));
   auto slot = static_cast<int>(fields.integer("slot", 0, 15));
   fields.integer_or("index", 0, exact_end, 0);
   auto found = lists_.find(slot);
-  if (found == lists_.end()) throw Fault("no list has the number " + std::to_string(slot));
+  if (found == lists_.end()) throw ParseError("no list has the number " + std::to_string(slot));
   for (const auto& entry : found->second)
     if (static_cast<std::int64_t>(entry.kind) >= instance.kinds)
-      throw Fault("machine is out of range in the list");
-  guarded(instance, [&](Decision& d) { d.list(found->second, scope != "INCREMENTAL"); });
+      throw ParseError("machine is out of range in the list");
+  guarded(instance, [&](Decision& d) { d.update_endpoints(found->second, scope != "INCREMENTAL"); });
 }
 
 void Host::reply(Fields& fields, Instance& instance) {
@@ -246,35 +250,36 @@
   outcome.doc = DocId(fields.integer("opId", 0, id_end - 1));
   outcome.transmission = static_cast<int>(fields.integer("trial", 0, std::numeric_limits<int>::max()));
   auto note = static_cast<double>(fields.integer_or("waitMs", 0, exact_end, 0));
-  outcome.over = fields.flag("last");
-  outcome.took = to_millis(fields.integer("delaySeenUs", 0, exact_end));
-  outcome.ending = one_of(endings, fields.word("ending"), "ending");
+  outcome.completed = fields.flag("last");
+  outcome.duration = to_millis(fields.integer("delaySeenUs", 0, exact_end));
+  outcome.result = parse_enum(endings, fields.word("ending"), "ending");
   outcome.endpoint = endpoint_id(fields.word("endpoint"));
-  outcome.hints = hints_of(fields.at_end() ? std::string_view{} : fields.word("healthInfo"), ':');
-  if (outcome.ending == Ending::refused) outcome.wait = note;
+  outcome.hints = parse_hints(fields.at_end() ? std::string_view{} : fields.word("healthInfo"), ':');
+  if (outcome.result == TransmissionResult::refused) outcome.retry_after = note;
   guarded(instance, [&](Decision& d) { d.outcome(outcome); });
 }
 
 EndpointId Host::endpoint_id(std::string_view address) {
-  std::uint64_t hash = hash_of(address);
+  std::uint64_t hash = fnv1a_hash(address);
   auto [place, fresh] = addresses_.try_emplace(hash, address);
-  if (!fresh && place->second != address) throw Fault("two addresses share an id: " + quoted(address));
+  if (!fresh && place->second != address)
+    throw ParseError("two addresses share an id: " + quote_excerpt(address));
   return EndpointId(hash);
 }
 
 // What this turn brought to light goes to all others; says when it wants to be asked again.
 Millis Host::tell_notes(int number, Instance& instance, Millis now) {
   if (!instance.notes) return -1;
-  instance.notes->begin(now);
-  for (const auto& own : instance.decision->knowledge(false)) instance.notes->tell(own);
+  instance.notes->begin_turn(now);
+  for (const auto& own : instance.decision->route_statuses(false)) instance.notes->publish(own);
   auto said = instance.notes->decide();
   for (const auto& datagram : said.datagrams)
-    out_ << "publish " << number << " -1 " << base64(peer::packed(datagram)) << '\n';
+    out_ << "publish " << number << " -1 " << base64_encode(peer::packed(datagram)) << '\n';
   return said.wake_in;
 }
 
 void Host::answer(int number, Instance& instance, std::int64_t clock) {
-  Decided decided;
+  Actions decided;
   guarded(instance, [&](Decision& d) { decided = d.decide(); });
   if (!instance.fault.empty()) {
     for (char& c : instance.fault)
@@ -282,21 +287,21 @@
     out_ << "panic " << number << ' ' << instance.fault << '\n';
     return;
   }
-  if (decided.follow_list > 0) out_ << "follow " << number << " 1\n";
+  if (decided.long_poll_wait > 0) out_ << "follow " << number << " 1\n";
   for (const auto& line : decided.log) out_ << "say_log " << number << ' ' << line << '\n';
   for (const auto& reject : decided.rejected)
     out_ << "overload_reply " << number << ' ' << static_cast<std::uint64_t>(reject.doc) << ' '
-         << static_cast<std::int64_t>(std::ceil(reject.wait * 1000.0)) << '\n';
+         << static_cast<std::int64_t>(std::ceil(reject.retry_after * 1000.0)) << '\n';
   for (DocId doc : decided.abandoned)
     out_ << "drop_request " << number << ' ' << static_cast<std::uint64_t>(doc) << '\n';
-  for (const auto& one : decided.closed)  // this wire can only say all of them
-    if (one.idle_least == 0)
+  for (const auto& one : decided.closed_connections)  // this wire can only say all of them
+    if (one.min_idle_time == 0)
       out_ << "close " << number << ' ' << addresses_.at(static_cast<std::uint64_t>(one.endpoint)) << '\n';
-  for (const auto& sent : decided.transmitted)
+  for (const auto& sent : decided.transmissions)
     out_ << "hand_off " << number << ' ' << static_cast<std::uint64_t>(sent.doc) << ' '
-         << static_cast<std::int64_t>(std::floor(sent.time_out * 1000.0)) << ' '
+         << static_cast<std::int64_t>(std::floor(sent.timeout * 1000.0)) << ' '
          << addresses_.at(static_cast<std::uint64_t>(sent.endpoint)) << '\n';
-  for (const auto& call : decided.called_off)
+  for (const auto& call : decided.canceled)
     out_ << "drop_attempt " << number << ' ' << static_cast<std::uint64_t>(call.doc) << ' '
          << call.transmission << '\n';
   if (Millis wake = tell_notes(number, instance, to_millis(clock)); wake >= 0)
--- a/src/adapter/wire.h
+++ b/src/adapter/wire.h
@@ -13,12 +13,12 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/notes.h"
+#include "fleet/route_gossip.h"
 #include "settings/settings.h"
 
 namespace rockcrank::wire {
 
-using rockcrank::Fault;
+using rockcrank::ParseError;
 
 // One line, taken apart field by field.
 class Fields {
@@ -46,7 +46,7 @@
  private:
   struct Instance {
     std::unique_ptr<Decision> decision;
-    std::unique_ptr<fleet::Notes> notes;  // none: none are sent or heard
+    std::unique_ptr<fleet::RouteGossip> notes;  // none: none are sent or heard
     int kinds, doc_types;
     std::int64_t wake_at = -1;
     std::string fault;
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -7,24 +7,24 @@
 
 namespace rockcrank::internal {
 
-void Decider::take(const Document& given) {
+void Decider::accept(const Document& given) {
   if (given.ended) return void(lanes_[given.key].untold.insert(given.id));
   Doc& doc = docs_[given.id];
   doc.destination = given.destination;
-  doc.id = given.id, doc.to = &destinations_[given.destination], doc.expiry = now_ + given.left;
+  doc.id = given.id, doc.to = &destinations_[given.destination], doc.expiry = now_ + given.time_left;
   doc.type = &types_[static_cast<std::size_t>(given.type)];
-  doc.most = given.most > 0 ? given.most : set_.max_transmissions;
+  doc.most = given.max_transmissions > 0 ? given.max_transmissions : set_.max_transmissions;
   // A document handed in with less left than its agreed time is in a hurry, not late.
-  doc.agreed_by = given.left < doc.type->agreed_time && given.transmissions == 0
+  doc.agreed_by = given.time_left < doc.type->target_latency && given.transmissions == 0
                       ? doc.expiry - margin()
-                      : doc.expiry - doc.type->lifetime + doc.type->agreed_time;
+                      : doc.expiry - doc.type->lifetime + doc.type->target_latency;
   doc.turn_taken = ++taken_, ++doc.to->docs, doc.key = given.key, doc.tries = given.transmissions;
   doc.ordered = doc.type->in_order && given.has_key;
   if (doc.ordered) lanes_[doc.key].waiting.insert(doc.turn_taken);
   // Recovered after a restart: a transmission that was out may have run, and its key rests.
   if (given.may_have_run) {
-    doc.risked_at = now_ - given.risked_ago, doc.risked_hall = given.risked_hall;
-    if (doc.ordered) lanes_[doc.key].rests_until = now_ + set_.order_rest;
+    doc.risked_at = now_ - given.may_have_run_ago, doc.risked_hall = given.may_have_run_zone;
+    if (doc.ordered) lanes_[doc.key].rests_until = now_ + set_.order_settle_time;
   }
   if (auto tenant = static_cast<std::size_t>(given.tenant); tenant < shares_.size()) {
     shares_[tenant].first.add(now_, 1);
@@ -32,20 +32,20 @@
   }
 }
 
-bool Decider::knows(DestinationId at) const {
+bool Decider::has_destination(DestinationId at) const {
   return destinations_.count(at) && !destinations_.at(at).ranked.empty();
 }
 
 // At the door: after the ladder's first step, or when the destination may take a call, if that is later.
-Millis Decider::come_back(DestinationId id) {
-  Millis free = knows(id) ? free_at(destinations_[id]) : never, pause = varied(ladder_base);
-  return std::min(set_.reject_wait_max, free < never ? std::max(pause, free - now_) : pause);
+Millis Decider::retry_after(DestinationId id) {
+  Millis free = has_destination(id) ? free_at(destinations_[id]) : never, pause = varied(ladder_base);
+  return std::min(set_.max_retry_after, free < never ? std::max(pause, free - now_) : pause);
 }
 
 // Rule 2: a rejection tells the client that trying again is harmless.
 bool Decider::may_reject(const Doc& doc) const {
-  bool harmless = doc.type->marked_everywhere() || !doc.may_have_run();
-  return doc.type->repeat == Repeat::replayable || (doc.out == 0 && harmless);
+  bool harmless = doc.type->deduplicated_globally() || !doc.may_have_run();
+  return doc.type->retry_safety == RetrySafety::idempotent || (doc.out == 0 && harmless);
 }
 
 // What can still make its agreed time first, then the late, then the rest. In each the most valuable first;
@@ -56,9 +56,9 @@
   double value = -doc.type->value * held_up;
   auto grade = [&](int stage, Millis by) { return Grade{stage, value, by, doc.turn_taken}; };
   if (doc.over_share) return grade(3, doc.expiry);
-  double late = (now_ + doc.to->lead - doc.agreed_by) / doc.type->agreed_time;
+  double late = (now_ + doc.to->lead - doc.agreed_by) / doc.type->target_latency;
   if (late <= 0) return grade(0, doc.agreed_by);
-  bool lost = set_.value_halves && std::exp2(-late) <= doc.type->late_value;
+  bool lost = set_.exponential_value_decay && std::exp2(-late) <= doc.type->late_value;
   return lost ? grade(2, doc.expiry) : grade(1, -doc.agreed_by);
 }
 
@@ -69,23 +69,23 @@
 }
 
 void Decider::end(Doc& doc) {
-  Millis wait = std::min(free_at(*doc.to) - now_, set_.reject_wait_max);  // told the client
+  Millis wait = std::min(free_at(*doc.to) - now_, set_.max_retry_after);  // told the client
   bool rejected = may_reject(doc);
   if (rejected) done_.rejected.push_back({doc.id, wait});
   else done_.abandoned.push_back(doc.id);
   note_end(doc, rejected);
-  if (doc.ordered && set_.ends_acknowledged) lanes_[doc.key].untold.insert(doc.id);
+  if (doc.ordered && set_.end_reports_acknowledged) lanes_[doc.key].untold.insert(doc.id);
   close(doc);
 }
 
 void Decider::note_end(const Doc& doc, bool rejected) {
   ++(rejected ? counters_.rejected : counters_.abandoned);
-  bool harmless =
-      doc.type->repeat == Repeat::replayable || !doc.may_have_run() || doc.type->marked_everywhere();
-  bool safe = !rejected || (harmless && (doc.out == 0 || doc.type->repeat == Repeat::replayable));
+  bool harmless = doc.type->retry_safety == RetrySafety::idempotent || !doc.may_have_run() ||
+                  doc.type->deduplicated_globally();
+  bool safe = !rejected || (harmless && (doc.out == 0 || doc.type->retry_safety == RetrySafety::idempotent));
   bool in_time = now_ <= doc.expiry;
   counters_.invariants.violated(Invariant::safe_rejection, safe);
-  counters_.invariants.violated(Invariant::deadline, in_time);
+  counters_.invariants.violated(Invariant::expiry, in_time);
   char text[200];
   std::snprintf(
       text, sizeof text,
@@ -100,9 +100,9 @@
 // tenth is kept free: documents that have lost all they can lose make way, those nearest to expiry first.
 bool Decider::crowds_out(Doc& doc) {
   // Guards against giving up what a restart found, where that is more than the room is now.
-  double most = std::max(0.9 * set_.room, static_cast<double>(held_at_start_));
-  return set_.room > 0 && static_cast<double>(docs_.size()) > most && doc.out == 0 && may_reject(doc) &&
-         std::get<0>(urgency(doc)) >= 2;
+  double most = std::max(0.9 * set_.max_documents, static_cast<double>(held_at_start_));
+  return set_.max_documents > 0 && static_cast<double>(docs_.size()) > most && doc.out == 0 &&
+         may_reject(doc) && std::get<0>(urgency(doc)) >= 2;
 }
 
 }  // namespace rockcrank::internal
--- a/src/decision/circuit_breaker.cpp
+++ b/src/decision/circuit_breaker.cpp
@@ -54,7 +54,7 @@
   if (route.failing_since < never && outage && route.mode != Mode::following && !return_is_known(route)) {
     if (!is_cold(route))
       log(route, "cold_return", {{"rate_before", route.rate_before}, {"failing", failing}}),
-          ++counters_.cold_returns;
+          ++counters_.slow_starts;
     route.cold_since = now_, route.news = true;
   }
   if (route.failing_since < never) keep(route);
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -28,7 +28,7 @@
 Millis Decider::room_at(const Endpoint& e) const {
   int more = std::max(0, e.calls_out + 1 - e.room);
   Millis room = more == 0 ? -never : e.room_met_at + (e.turns_away ? more * ladder_base : room_hold);
-  return std::max(room, now_ < e.back_at + set_.warm_within ? e.paced_until : -never);
+  return std::max(room, now_ < e.back_at + set_.warm_up_time ? e.paced_until : -never);
 }
 
 // Slots taken by calls far overdue at hung destinations starve the healthy ones. While a document waits for
@@ -42,7 +42,7 @@
 // slow, and calling off would throw away work that the destinations go on with.
 Call* Decider::furthest_overdue() {
   Call* worst = nullptr;
-  if (!set_.may_call_off) return worst;
+  if (!set_.may_cancel) return worst;
   double most = hung_.read(now_) > 6 && late_.read(now_) < 0.08 * hung_.read(now_) ? 0.6 : 2.5;
   for (auto& [number, call] : calls_) {
     double by = (now_ - call.sent) / overdue_after(*call.route) * call.route->patience;
@@ -56,8 +56,8 @@
   call->called_off = true, ++freed_, doc.not_before = now_ + set_.tick;
   for (auto& [transmission, entry] : out_)
     if (&calls_[std::get<0>(entry)] == call)
-      done_.called_off.push_back({transmission.first, transmission.second});
-  ++counters_.called_off;
+      done_.canceled.push_back({transmission.first, transmission.second});
+  ++counters_.canceled;
   log(*call->route, "called_off", {{"age_ms", now_ - call->sent}, {"calls_out", calls_out_}});
   overdue_ = furthest_overdue();
 }
--- a/src/decision/decider.h
+++ b/src/decision/decider.h
@@ -58,35 +58,37 @@
       : set_(settings), chance_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {
     for (const auto& type : set_.doc_types)
       longest_life_ = std::max(longest_life_, types_.emplace_back(type).lifetime);
-    retune(settings);
+    update_settings(settings);
   }
 
-  DocTypeId number_of(const DocType& type) override;
-  void retune(const Settings& settings) override;
-  void begin(Millis now) override;
-  void list(const std::vector<EndpointEntry>& entries, bool whole) override;
-  void list_failed(bool turned_away, Millis took) override;
-  void take(const Document& given) override;
+  DocTypeId type_id(const DocType& type) override;
+  void update_settings(const Settings& settings) override;
+  void begin_turn(Millis now) override;
+  void update_endpoints(const std::vector<EndpointEntry>& entries, bool whole) override;
+  void discovery_failed(bool turned_away, Millis took) override;
+  void accept(const Document& given) override;
   void outcome(const Outcome& got) override;
   void withdraw(DocId id) override;
-  void set_out(EndpointId id, bool out) override;
-  void hold(bool held) override { held_ = held; }
-  void follows_ended_process() override { all_keys_rest_until_ = now_ + set_.order_rest; }
-  std::string hand_over() override;
-  void take_over(const std::string& state) override;
-  void leave(Millis within) override { leave_at_ = now_ + within; }
-  bool has_room() const override { return set_.room == 0 || static_cast<int>(docs_.size()) < set_.room; }
-  bool knows(DestinationId at) const override;
-  Millis come_back(DestinationId id) override;
-  void connecting(DocId doc, int transmission) override;
-  MayBegin may_begin(DocId doc, int transmission) override;
+  void set_offline(EndpointId id, bool out) override;
+  void pause_sending(bool held) override { held_ = held; }
+  void previous_process_ended() override { all_keys_rest_until_ = now_ + set_.order_settle_time; }
+  std::string export_state() override;
+  void import_state(const std::string& state) override;
+  void begin_shutdown(Millis within) override { leave_at_ = now_ + within; }
+  bool has_capacity() const override {
+    return set_.max_documents == 0 || static_cast<int>(docs_.size()) < set_.max_documents;
+  }
+  bool has_destination(DestinationId at) const override;
+  Millis retry_after(DestinationId id) override;
+  void note_connecting(DocId doc, int transmission) override;
+  SendPermission may_send(DocId doc, int transmission) override;
   const Counters& counters() const override { return counters_; }
-  Millis pause_after(int failures) override { return varied(ladder(failures)); }
-  std::vector<Knowledge> knowledge(bool all) override;
-  std::vector<Knowledge> to_keep() override;
-  void learn(const Knowledge& k) override;
-  bool may_open_ahead(EndpointId id, int up) override;
-  Decided decide() override;
+  Millis retry_backoff(int failures) override { return varied(ladder(failures)); }
+  std::vector<RouteStatus> route_statuses(bool all) override;
+  std::vector<RouteStatus> route_statuses_to_persist() override;
+  void apply_route_status(const RouteStatus& k) override;
+  bool may_preconnect(EndpointId id, int up) override;
+  Actions decide() override;
 
  private:
   static constexpr Millis stall = 1000, longest_span = 2500, room_hold = 5000, cap_counts = 30000;
@@ -104,7 +106,9 @@
   Millis next_due();
 
   // The list of endpoints
-  Millis list_spread() const { return set_.list_at_hand ? 0 : std::min(follow_within, 100.0 * set_.relays); }
+  Millis list_spread() const {
+    return set_.local_discovery_agent ? 0 : std::min(follow_within, 100.0 * set_.relays);
+  }
 
   // Admission and ends
   bool may_reject(const Doc& doc) const;
@@ -126,7 +130,9 @@
 
   // Circuit breaker
   void failed(Call& call, bool refused, bool waits);
-  static bool spent(const Hints& hints) { return hints.told && hints.limit > 0 && hints.left_share < 0.1; }
+  static bool spent(const LoadHints& hints) {
+    return hints.present && hints.rate_limit > 0 && hints.remaining_share < 0.1;
+  }
   bool told_wait(Route& route, Millis until, bool limit_met);
   void succeeded(Route& route);
   void open(Route& route);
@@ -137,7 +143,7 @@
 
   // Pace and slow start
   bool is_slow(Route& route) { return is_cold(route) || is_suspected(route); }
-  bool is_cold(const Route& route) const { return now_ < route.cold_since + set_.warm_within; }
+  bool is_cold(const Route& route) const { return now_ < route.cold_since + set_.warm_up_time; }
   bool return_is_known(const Route& route) const;
   void note_rate(Route& route, double told = 0, const Call* failed = nullptr);
   void cold_from(Route& route, Millis since);
@@ -213,7 +219,7 @@
   SlowStart slow_start_{set_};
   std::deque<DocType> types_;
   std::minstd_rand chance_;
-  Millis follow_at_ = set_.list_on_request ? 0 : never;
+  Millis follow_at_ = set_.discovery_on_request ? 0 : never;
   Millis now_ = 0, due_ = 0, leave_at_ = never, forgot_at_ = 0, longest_life_ = 0, idle_limit_ = never;
   std::uint64_t taken_ = 0, call_number_ = 0;
   int list_failures_ = 0, calls_out_ = 0, connecting_ = 0, begun_ = 0, freed_ = 0;  // freed: called off
@@ -231,7 +237,7 @@
   std::map<EndpointId, std::uint64_t> bundles_;  // the call opened this turn, by endpoint
   std::vector<std::pair<Fading, double>> shares_;
   std::vector<std::pair<Grade, Doc*>> waiting_;
-  Decided done_;
+  Actions done_;
   Counters counters_;
   Millis all_keys_rest_until_ = -never;
   int held_at_start_ = -1;   // documents that were there in the first turn
--- a/src/decision/decision.cpp
+++ b/src/decision/decision.cpp
@@ -6,8 +6,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "decision/carry.h"
 #include "decision/decider.h"
+#include "decision/state_archive.h"
 
 namespace rockcrank {
 namespace internal {
@@ -17,21 +17,21 @@
 }
 
 // Documents point to the type they were taken on with, so types are only ever added.
-DocTypeId Decider::number_of(const DocType& type) {
+DocTypeId Decider::type_id(const DocType& type) {
   auto found = std::ranges::find(types_, type);
   if (found == types_.end()) found = types_.insert(types_.end(), type);
   longest_life_ = std::max(longest_life_, type.lifetime);
   return DocTypeId(found - types_.begin());
 }
 
-void Decider::retune(const Settings& settings) {
+void Decider::update_settings(const Settings& settings) {
   set_ = settings;
   slow_start_ = SlowStart(settings);
   shares_.resize(set_.tenant_rates.size(), {Fading(10000), 0});
   for (std::size_t i = 0; i < shares_.size(); ++i) shares_[i].second = set_.tenant_rates[i] / set_.relays;
 }
 
-void Decider::begin(Millis now) {
+void Decider::begin_turn(Millis now) {
   // A stall of the relay itself: what fell due meanwhile must not go at once, so its waits are drawn anew.
   if (now > due_ + stall && due_ > 0)
     for (auto& [id, doc] : docs_)
@@ -45,7 +45,7 @@
 }
 
 // Whatever is put back is cold: the route where it is the only one open, else the endpoint alone.
-void Decider::set_out(EndpointId id, bool out) {
+void Decider::set_offline(EndpointId id, bool out) {
   if (!(out ? outs_.insert(id).second : outs_.erase(id) > 0) || !endpoints_.count(id)) return;
   Endpoint& e = endpoints_[id];
   Route& route = *e.route;
@@ -58,7 +58,7 @@
   if (alone) cold_from(route, now_);
 }
 
-std::string Decider::hand_over() {
+std::string Decider::export_state() {
   Carried all;
   all.put(parts());
   for (auto& [id, e] : endpoints_) all.add("endpoints", id, e);
@@ -67,7 +67,7 @@
   return all.text();
 }
 
-void Decider::take_over(const std::string& state) {
+void Decider::import_state(const std::string& state) {
   Carried all(state);
   all.get(parts());
   all.each<EndpointId, Endpoint>("endpoints", [&](EndpointId id, const Endpoint& e) {
@@ -79,15 +79,15 @@
     calls_[where.first].route = endpoints_.at(where.second).route;
   });
   all.each<DocType, Doc>("docs", [&](const DocType& type, const Doc& doc) {
-    (docs_[doc.id] = doc).type = &types_[static_cast<std::size_t>(number_of(type))];
+    (docs_[doc.id] = doc).type = &types_[static_cast<std::size_t>(type_id(type))];
     docs_[doc.id].to = &destinations_[doc.destination], ++docs_[doc.id].to->docs;
   });
-  follow_at_ = set_.list_on_request ? 0 : never;
+  follow_at_ = set_.discovery_on_request ? 0 : never;
 }
 
-Decided Decider::decide() {
+Actions Decider::decide() {
   if (held_at_start_ < 0) held_at_start_ = static_cast<int>(docs_.size());
-  done_.idle_most = idle_breaks_.read(now_) > 1.2 ? idle_limit_ : never;
+  done_.max_idle_time = idle_breaks_.read(now_) > 1.2 ? idle_limit_ : never;
   for (auto& [id, to] : destinations_) {
     if (to.docs == 0) continue;
     to.harmless = 0, to.told_until = never;
@@ -98,7 +98,7 @@
   }
   waiting_.clear();
   for (auto& [id, doc] : docs_) {
-    doc.to->harmless += is_ready(doc) && doc.type->repeat != Repeat::binding;
+    doc.to->harmless += is_ready(doc) && doc.type->retry_safety != RetrySafety::unsafe;
     waiting_.push_back({urgency(doc), &doc});
   }
   std::sort(waiting_.begin(), waiting_.end());
@@ -127,20 +127,20 @@
   // keep no more together than any endpoint takes, none to one not open; at a cap, what lies unused goes.
   for (EndpointId id : std::exchange(used_, {})) {
     Endpoint& e = endpoints_[id];
-    if (gives_up(e)) done_.closed.push_back({id}), e.idle_since = never;
-    else if (now_ < e.cap_met_at + cap_counts) done_.closed.push_back({id, trial_pause});
+    if (gives_up(e)) done_.closed_connections.push_back({id}), e.idle_since = never;
+    else if (now_ < e.cap_met_at + cap_counts) done_.closed_connections.push_back({id, trial_pause});
   }
   if (now_ >= forgot_at_ + trial_pause) forget();
-  Millis asked = set_.list_at_hand ? ladder_base : trial_pause;  // a lost watch shows soon
-  if (now_ >= follow_at_) done_.follow_list = asked, follow_at_ = never;
-  done_.list_late = set_.list_at_hand ? ladder_base : 2.5 * trial_pause;
+  Millis asked = set_.local_discovery_agent ? ladder_base : trial_pause;  // a lost watch shows soon
+  if (now_ >= follow_at_) done_.long_poll_wait = asked, follow_at_ = never;
+  done_.discovery_timeout = set_.local_discovery_agent ? ladder_base : 2.5 * trial_pause;
   due_ = next_due(), done_.wake_in = due_ >= never ? -1 : std::max(0.0, due_ - now_);
   return std::move(done_);
 }
 
 void Decider::close(Doc& doc) {
   if (doc.ordered) lanes_[doc.key].waiting.erase(doc.turn_taken);
-  --doc.to->docs, doc.to->harmless -= is_ready(doc) && doc.type->repeat != Repeat::binding;
+  --doc.to->docs, doc.to->harmless -= is_ready(doc) && doc.type->retry_safety != RetrySafety::unsafe;
   docs_.erase(doc.id);
 }
 
@@ -151,12 +151,12 @@
     if (gives_up(e) || now_ < e.cap_met_at + cap_counts) used_.insert(id);
     if (e.calls_out > 0 || now_ < e.gone_at + longest_life_) continue;
     for (auto& [destination, to] : destinations_) std::erase(to.ranked, &e);
-    --e.route->endpoints, done_.forgotten.push_back(id);
+    --e.route->endpoints, done_.forgotten_endpoints.push_back(id);
   }
-  for (EndpointId id : done_.forgotten) endpoints_.erase(id), used_.erase(id);
+  for (EndpointId id : done_.forgotten_endpoints) endpoints_.erase(id), used_.erase(id);
   std::erase_if(destinations_, [](auto& at) { return at.second.ranked.empty() && !at.second.docs; });
   std::erase_if(routes_, [&](auto& at) {
-    return at.second.endpoints == 0 && now_ >= at.second.binds_until(set_.warm_within, longest_life_);
+    return at.second.endpoints == 0 && now_ >= at.second.binds_until(set_.warm_up_time, longest_life_);
   });
   std::erase_if(lanes_, [&](auto& entry) { return entry.second.is_over(now_); });
 }
@@ -169,7 +169,7 @@
   for (auto& [id, doc] : docs_) {
     wake_at(doc.expiry - margin());
     if (doc.out > 0) continue;
-    wake_at(doc.risked_at + doc.type->key_window - margin()), wake_at(doc.not_before);
+    wake_at(doc.risked_at + doc.type->idempotency_window - margin()), wake_at(doc.not_before);
     if (doc.not_before > now_) continue;
     if (doc.ordered) wake_at(rests_until(lanes_[doc.key]));
     doc.to->wanted = true;
--- a/src/decision/invariants.cpp
+++ b/src/decision/invariants.cpp
@@ -6,11 +6,11 @@
 const char* name_of(Invariant invariant) {
   switch (invariant) {
     case Invariant::slow_start: return "slow_start";
-    case Invariant::told_wait: return "told_wait";
+    case Invariant::retry_after: return "told_wait";
     case Invariant::closed_endpoint: return "closed_endpoint";
-    case Invariant::message_order: return "message_order";
-    case Invariant::single_attempt: return "single_attempt";
-    case Invariant::deadline: return "deadline";
+    case Invariant::key_order: return "message_order";
+    case Invariant::single_transmission: return "single_attempt";
+    case Invariant::expiry: return "deadline";
     case Invariant::safe_rejection: return "safe_rejection";
   }
   return "unknown";
--- a/src/decision/invariants.h
+++ b/src/decision/invariants.h
@@ -11,13 +11,13 @@
 namespace rockcrank {
 
 enum class Invariant : std::uint8_t {
-  slow_start,       // no more than this relay's part to a destination in slow start
-  told_wait,        // nothing to a destination that told to wait
-  closed_endpoint,  // nothing to an endpoint that drains, is gone or is out
-  message_order,    // one message of a key at a time, in order
-  single_attempt,   // no second attempt beside one that is out, or where it could have a second effect
-  deadline,         // no attempt after the message's time, and no end after it either
-  safe_rejection    // a rejection only where a retry is harmless
+  slow_start,           // no more than this relay's part to a destination in slow start
+  retry_after,          // nothing to a destination that told to wait
+  closed_endpoint,      // nothing to an endpoint that drains, is gone or is out
+  key_order,            // one message of a key at a time, in order
+  single_transmission,  // no second attempt beside one that is out, or where it could have a second effect
+  expiry,               // no attempt after the message's time, and no end after it either
+  safe_rejection        // a rejection only where a retry is harmless
 };
 constexpr std::size_t invariant_count = 7;
 const char* name_of(Invariant invariant);
--- a/src/decision/pacing.cpp
+++ b/src/decision/pacing.cpp
@@ -41,7 +41,7 @@
     if (held >= 1) rate = std::max(rate, 0.5 * route.limit);
   }
   if (route.own_pace > 0) rate = std::min(rate, route.own_pace * std::exp((now_ - route.paced_at) / 4000));
-  if (now_ < route.cold_since + set_.warm_within + SlowStart::opening_within)
+  if (now_ < route.cold_since + set_.warm_up_time + SlowStart::opening_within)
     rate = std::min(rate, cold_pace(route, std::max(0.0, now_ - route.cold_since)));
   if (is_suspected(route)) rate = std::min(rate, suspected_pace(route));
   return rate;
@@ -57,7 +57,7 @@
 double Decider::suspected_pace(Route& route) {
   if (std::max(route.failures_in_row, route.refused_in_row) > 1) return cold_pace(route, 0);
   double own_rate = std::max(route.rate_before, 0.5 * route.calls.weight_per_second(0));
-  Millis age = std::min(now_ - route.failing_since, set_.warm_within);
+  Millis age = std::min(now_ - route.failing_since, set_.warm_up_time);
   return slow_start_.rate({own_rate, route.limit}, age);
 }
 
--- a/src/decision/sending.cpp
+++ b/src/decision/sending.cpp
@@ -8,21 +8,21 @@
 namespace rockcrank::internal {
 
 // Rules 3 and 6 hold for the moment of sending too. Calls that are up wait for a slot before any new one.
-MayBegin Decider::may_begin(DocId doc, int transmission) {
+SendPermission Decider::may_send(DocId doc, int transmission) {
   auto found = out_.find({doc, transmission});
-  if (found == out_.end()) return MayBegin::never;
+  if (found == out_.end()) return SendPermission::never;
   const std::uint64_t number = std::get<0>(found->second);
   Call& call = calls_[number];
   pass(call, Stage::up);
   if (const char* reason = overtaken_by(call, number)) {
-    ++counters_.not_begun;
+    ++counters_.not_started;
     log(*call.route, (std::string("not_begun reason=") + reason).c_str(), {{"message", double(doc)}});
-    return MayBegin::never;
+    return SendPermission::never;
   }
-  if (begun_ >= set_.slots) return MayBegin::later;
+  if (begun_ >= set_.slots) return SendPermission::later;
   pass(call, Stage::begun);
   if (auto held = docs_.find(doc); held != docs_.end()) check_writing(held->second, *call.endpoint);
-  return MayBegin::now;
+  return SendPermission::now;
 }
 
 // What came between a call's choice and the moment at which its connection is up, or null.
@@ -82,7 +82,7 @@
     if (!may_run_at(doc, *e)) continue;
     // A trial may end without an outcome: no binding document is risked while a harmless one waits there,
     // or with those that go already.
-    bool binding = doc.type->repeat == Repeat::binding, trial = e->route->mode != Mode::closed;
+    bool binding = doc.type->retry_safety == RetrySafety::unsafe, trial = e->route->mode != Mode::closed;
     if (binding && trial && opened(*e)) continue;
     if (binding && doc.to->harmless > 0 && (trial || sick(*e->route))) continue;
     if (!best || burden(*e) < burden(*best)) best = e;
@@ -105,7 +105,7 @@
   if (joined) route.credit -= is_slow(route) ? 0.12 : 0;
   else {
     Millis idle = endpoint.calls_out == 0 ? std::max(0.0, now_ - endpoint.idle_since) : 0;
-    if (idle > done_.idle_most) done_.closed.push_back({endpoint.id}), idle = 0;
+    if (idle > done_.max_idle_time) done_.closed_connections.push_back({endpoint.id}), idle = 0;
     calls_[number = ++call_number_] = Call{&route, &endpoint, now_, 0, idle};
     ++begun_, ++calls_out_, ++route.calls_out, ++endpoint.calls_out;
     endpoint.paced_until = now_ + 1000 / cold_pace(route, now_ - endpoint.back_at);
@@ -113,10 +113,10 @@
     route.credit = credit(route) - 1;
   }
   ++calls_[number].docs;
-  done_.transmitted.push_back({doc.id, endpoint.id, time_out(doc, route)});
+  done_.transmissions.push_back({doc.id, endpoint.id, time_out(doc, route)});
   out_[{doc.id, doc.tries}] = {number, doc.key, doc.ordered};
   if (doc.ordered) ++lanes_[doc.key].out;
-  doc.to->harmless -= doc.type->repeat != Repeat::binding;
+  doc.to->harmless -= doc.type->retry_safety != RetrySafety::unsafe;
   ++doc.tries, ++doc.out;
 }
 
@@ -124,25 +124,26 @@
 void Decider::check_send(const Doc& doc, const Endpoint& endpoint, bool new_call) {
   Route& route = *endpoint.route;
   if (new_call) {
-    ++counters_.attempts, counters_.trials += route.mode == Mode::trial;
+    ++counters_.calls, counters_.trial_calls += route.mode == Mode::trial;
     if (is_slow(route)) {
-      ++counters_.slow_start_attempts;
-      bool over = route.slow_start_monitor.sent(now_, pace(route), set_.fall_time);
+      ++counters_.slow_start_calls;
+      bool over = route.slow_start_monitor.sent(now_, pace(route), set_.overload_window);
       check(Invariant::slow_start, !over, route, doc.id);
     }
   }
-  counters_.retried_messages += doc.tries > 0;
+  counters_.retried_documents += doc.tries > 0;
   bool first_of_key =
       !doc.ordered || (*lanes_[doc.key].waiting.begin() == doc.turn_taken && lanes_[doc.key].untold.empty());
-  check(Invariant::message_order, first_of_key, route, doc.id);
-  check(Invariant::single_attempt, doc.out == 0 && doc.tries < doc.most && marked(doc, now_), route, doc.id);
+  check(Invariant::key_order, first_of_key, route, doc.id);
+  check(Invariant::single_transmission, doc.out == 0 && doc.tries < doc.most && marked(doc, now_), route,
+        doc.id);
   check_writing(doc, endpoint);
 }
 
 void Decider::check_writing(const Doc& doc, const Endpoint& endpoint) {
-  check(Invariant::told_wait, now_ >= endpoint.route->told_until, *endpoint.route, doc.id);
+  check(Invariant::retry_after, now_ >= endpoint.route->told_until, *endpoint.route, doc.id);
   check(Invariant::closed_endpoint, endpoint.open(), *endpoint.route, doc.id);
-  check(Invariant::deadline, now_ < doc.expiry, *endpoint.route, doc.id);
+  check(Invariant::expiry, now_ < doc.expiry, *endpoint.route, doc.id);
 }
 
 void Decider::check(Invariant invariant, bool holds, const Route& route, DocId doc) {
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -25,8 +25,8 @@
 SlowStart::SlowStart(const Settings& settings)
     : relays_(settings.relays),
       start_capacity_(settings.start_capacity),
-      allowed_share_(used_of_multiple * settings.fall_multiple),
-      warm_within_(settings.warm_within) {}
+      allowed_share_(used_of_multiple * settings.overload_multiple),
+      warm_within_(settings.warm_up_time) {}
 
 double SlowStart::capacity_share(Millis age) const {
   if (warm_within_ <= 0) return 1;
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -104,20 +104,20 @@
 
   // As other relays are told: a met limit without hints has nothing left; a wait that another relay told is
   // not told on, as on its way it would grow.
-  Knowledge known(bool apart, Millis now, bool cold, bool all) const {
-    Knowledge to;
-    to.apart = apart, to.route = name;
+  RouteStatus known(bool apart, Millis now, bool cold, bool all) const {
+    RouteStatus to;
+    to.per_endpoint = apart, to.route = name;
     bool down = mode == Mode::open || mode == Mode::trial, returning = cold && cold_since <= now;
-    if (all || told_until > learnt_until) to.told_left = std::max(0.0, told_until - now);
-    to.state = down ? RouteState::down : returning ? RouteState::returning : RouteState::well;
+    if (all || told_until > learnt_until) to.retry_after_left = std::max(0.0, told_until - now);
+    to.state = down ? RouteState::down : returning ? RouteState::recovering : RouteState::healthy;
     to.state_age = now - (down        ? down_at
                           : returning ? cold_since
                                       : answered_at),
-    to.rate_before = rate_before;
+    to.rate_before_outage = rate_before;
     Millis met_at = std::max(hinted_at, paced_at);
     if (limit > 0 && met_at > -never) {
-      to.limit = limit, to.limit_age = now - met_at;
-      to.left_share = paced_at > hinted_at ? 0 : left_share;
+      to.rate_limit = limit, to.limit_age = now - met_at;
+      to.remaining_share = paced_at > hinted_at ? 0 : left_share;
     }
     return to;
   }
@@ -126,9 +126,9 @@
 struct Endpoint {
   EndpointId id{};
   DestinationId destination{};
-  HallId hall{};
+  ZoneId hall{};
   bool apart = false;  // its route is its own
-  Standing standing = Standing::listed;
+  EndpointStatus standing = EndpointStatus::ready;
   bool out = false;  // taken out by staff, whatever the list says
   Route* route = nullptr;
   std::uint64_t rank = 0;
@@ -142,7 +142,7 @@
                     turns_away, rests_until, answered_at, room_met_at, cap_met_at, idle_since, gone_at,
                     back_at, paced_until);
   }
-  bool open() const { return standing == Standing::listed && !out; }
+  bool open() const { return standing == EndpointStatus::ready && !out; }
   RouteKey key() const { return {apart, apart ? std::uint64_t(id) : std::uint64_t(destination)}; }
 };
 
@@ -180,7 +180,7 @@
   Millis agreed_by = 0, expiry = 0, not_before = 0;
   int tries = 0, most = 0, failures = 0, out = 0;
   Millis risked_at = never;  // the send of the first transmission that may have run
-  HallId risked_hall{};
+  ZoneId risked_hall{};
   bool may_have_run() const { return risked_at < never; }
   auto fields() {
     return std::tie(id, destination, over_share, ordered, key, turn_taken, agreed_by, expiry, not_before,
--- a/src/fleet/custody.cpp
+++ b/src/fleet/custody.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 using Kind = CustodyMessage::Kind;
-using EventKind = CustodyEvent::Kind;
+using EventKind = WireLogEntry::Kind;
 
 constexpr Millis never = 1e18;
 constexpr int beats_a_lease = 4;                  // renewals, and what was not answered sent again
@@ -45,12 +45,12 @@
 struct Risk {
   int transmission = 0;
   Millis at = 0;
-  HallId hall{};
+  ZoneId hall{};
   std::uint64_t event = 0;  // of the log, by which it is noted
 };
 
 struct Doc {
-  Papers papers;  // but for its times
+  DocumentState papers;  // but for its times
   Millis expiry = 0, copied_by = never;
   std::vector<Risk> risks;
   bool answered = true;
@@ -72,7 +72,7 @@
   std::map<std::uint64_t, Millis> renewals;
   std::deque<std::pair<std::uint64_t, std::size_t>> flight;
   std::size_t flight_bytes = 0, parts_out = 0;
-  std::deque<DeedRange> todo;
+  std::deque<DocumentRange> todo;
   bool digests_out = false;
   std::uint64_t marked = 0;  // noted at the last beat
   void start_over(std::uint64_t end) {
@@ -90,7 +90,7 @@
   GroupId id;
   Role role = Role::former;
   Version voted;
-  std::vector<View> views;  // owner: each that may count, the newest last; else the newest known
+  std::vector<Configuration> views;  // owner: each that may count, the newest last; else the newest known
   std::map<std::uint64_t, Doc> docs;
   std::uint64_t highest = 0;
   std::size_t bytes = 0;  // of docs
@@ -98,7 +98,7 @@
   // Owner.
   std::deque<Entry> log;  // the last is number log_end
   std::uint64_t log_end = 0, renewals = 0;
-  std::map<Seat, Progress> progress;
+  std::map<RelayInstance, Progress> progress;
   bool acted = false, from_copies = false;
   Millis beat_at = 0, led_at = -never;
   std::deque<std::pair<std::uint64_t, std::uint64_t>> to_answer;  // event, deed
@@ -107,11 +107,11 @@
   Version higher;  // voted for elsewhere
 
   // Holder.
-  Seat given_to;
+  RelayInstance given_to;
   Millis given_until = -never, try_at = 0;
   std::uint64_t cursor = 0;
   bool whole = false;     // as of its owner's log, up to the cursor
-  Position position;      // of what is held, for votes; no term: nothing that counts
+  LogPosition position;   // of what is held, for votes; no term: nothing that counts
   bool aged = false;      // some copies were dropped for their age
   bool made_way = false;  // without room, the other holder was let go first
 
@@ -120,29 +120,29 @@
   bool trial = false, asking = false, objected = false;
   Millis asked_at = 0, asks_since = 0;
   std::set<std::pair<std::uint64_t, MemberId>> yes;  // by change of the view voted in
-  std::map<MemberId, Seat> voters;
+  std::map<MemberId, RelayInstance> voters;
   std::map<MemberId, std::pair<std::size_t, std::size_t>> inventories;  // entries got, of how many
-  std::map<std::uint64_t, std::vector<Papers::Risk>> listed;            // of the inventories
+  std::map<std::uint64_t, std::vector<DocumentState::InDoubtTransmission>> listed;  // of the inventories
   std::vector<std::pair<std::uint64_t, std::set<std::uint64_t>>>
       held_by;  // highest, and deeds, of whole ones
 
-  const View& view() const { return views.back(); }
+  const Configuration& view() const { return views.back(); }
   Version term() const { return views.empty() ? Version{} : views.back().term; }
 };
 
-bool sits(const View& view, const Seat& seat) {
-  return view.owner == seat || std::ranges::find(view.holders, seat) != view.holders.end();
+bool sits(const Configuration& view, const RelayInstance& seat) {
+  return view.owner == seat || std::ranges::find(view.replicas, seat) != view.replicas.end();
 }
-bool sits(const View& view, MemberId member) {
+bool sits(const Configuration& view, MemberId member) {
   return view.owner.member == member ||
-         std::ranges::any_of(view.holders, [&](const Seat& seat) { return seat.member == member; });
+         std::ranges::any_of(view.replicas, [&](const RelayInstance& seat) { return seat.member == member; });
 }
 // Only two holders can elect another owner, so only a view with two binds its owner to a lease.
-bool binds(const View& view) { return view.holders.size() == 2; }
+bool binds(const Configuration& view) { return view.replicas.size() == 2; }
 
 std::uint64_t sum_of(std::uint64_t number, const Doc& doc) {
-  std::vector<std::uint64_t> all{number, static_cast<std::uint64_t>(doc.papers.transmissions),
-                                 doc.papers.confirmed + 2u * doc.papers.ended};
+  std::vector<std::uint64_t> all{number, static_cast<std::uint64_t>(doc.papers.transmission_count),
+                                 doc.papers.acceptance_confirmed + 2u * doc.papers.ended};
   std::vector<int> risks;
   for (const Risk& risk : doc.risks) risks.push_back(risk.transmission);
   std::ranges::sort(risks);
@@ -162,31 +162,32 @@
     for (bool other_hall : {true, false})
       for (std::size_t step = 1; step < roster.size(); ++step) {
         auto at = (static_cast<std::size_t>(own_at - roster.begin()) + step) % roster.size();
-        if ((roster[at].hall != own_at->hall) == other_hall) ring_.push_back(roster[at].id);
+        if ((roster[at].zone != own_at->zone) == other_hall) ring_.push_back(roster[at].id);
       }
     for (const auto& member : roster) names_[member.id] = member.name;
     current_ = {self, own.number};
   }
 
-  void begin(Millis now) override {
+  void begin_turn(Millis now) override {
     now_ = std::max(now_, now);
     if (started_ < 0) started_ = now_;
   }
 
-  void recover(const GroupNote& note) override {
+  void restore_group(const PersistentGroupState& note) override {
     Group& g = groups_[note.group];
-    g.id = note.group, g.voted = note.voted, g.views = note.views, g.highest = note.highest;
-    g.role = note.owner ? Role::returning : Role::former;
+    g.id = note.group, g.voted = note.voted_term, g.views = note.configurations,
+    g.highest = note.highest_document;
+    g.role = note.is_owner ? Role::returning : Role::former;
     g.asks_since = now_;
-    if (note.group.first == self_.member && note.group.number >= current_.number)
+    if (note.group.origin == self_.member && note.group.number >= current_.number)
       current_.number = note.group.number + 1;
   }
-  void lived(Incarnation life) override { lived_.insert(life); }
+  void add_past_incarnation(Incarnation life) override { lived_.insert(life); }
 
-  void member(MemberId member, Incarnation life, Condition condition) override {
+  void on_member_change(MemberId member, Incarnation life, MemberState condition) override {
     known_[member] = {life, condition};
   }
-  void linked(MemberId peer, bool up) override {
+  void on_link_change(MemberId peer, bool up) override {
     for (auto& [id, g] : groups_)
       for (auto& [seat, progress] : g.progress)
         if (seat.member == peer) progress.start_over(g.log_end);
@@ -194,105 +195,107 @@
       for (auto& [id, g] : groups_) g.beat_at = now_, g.asked_at = std::min(g.asked_at, now_ - beat());
   }
   void leave() override { leaving_ = true; }
-  void room(bool any) override { room_ = any; }
+  void set_has_capacity(bool any) override { room_ = any; }
 
-  void heard(MemberId from, const CustodyMessage& m) override {
-    if (m.seat.member != from || from == self_.member) return;
+  void on_message(MemberId from, const CustodyMessage& m) override {
+    if (m.sender.member != from || from == self_.member) return;
     switch (m.kind) {
-      case Kind::propose: return proposed(m);
-      case Kind::renew: return renew(m);
-      case Kind::stream: return stream(m);
-      case Kind::digests: return digests(m);
-      case Kind::part: return part(m);
-      case Kind::ask: return asked(m);
+      case Kind::propose_configuration: return proposed(m);
+      case Kind::renew_lease: return renew(m);
+      case Kind::append_entries: return stream(m);
+      case Kind::range_digests: return digests(m);
+      case Kind::range_documents: return part(m);
+      case Kind::request_vote: return asked(m);
       case Kind::vote: return vote(m);
       case Kind::inventory: return inventory(m);
       case Kind::refused: return refused(m);
-      case Kind::accepted:
-      case Kind::renewed:
-      case Kind::noted:
-      case Kind::wanted: return answer(m);
+      case Kind::configuration_accepted:
+      case Kind::lease_renewed:
+      case Kind::entries_acknowledged:
+      case Kind::request_ranges: return answer(m);
     }
   }
 
-  Deed next_deed(std::uint64_t number) override { return {current_.first, current_.number, number}; }
+  GlobalDocId next_document_id(std::uint64_t number) override {
+    return {current_.origin, current_.number, number};
+  }
 
-  void take(const Papers& papers) override {
-    Group& g = own_group(papers.deed.group());
+  void accept(const DocumentState& papers) override {
+    Group& g = own_group(papers.id.group());
     Doc& doc = hold(g, papers);
-    doc.answered = !set_.wait_for_copy, doc.papers.confirmed = doc.answered;
-    doc.paper_event = log(g, {EventKind::paper, papers.deed.number, {}});
+    doc.answered = !set_.wait_for_replica, doc.papers.acceptance_confirmed = doc.answered;
+    doc.paper_event = log(g, {EventKind::document, papers.id.document_number, {}});
     if (doc.answered) return;
-    doc.copied_by = now_ + set_.copy_within;
-    g.to_answer.emplace_back(doc.paper_event, papers.deed.number);
+    doc.copied_by = now_ + set_.replication_timeout;
+    g.to_answer.emplace_back(doc.paper_event, papers.id.document_number);
   }
 
-  void recovered(const Papers& papers, std::uint64_t highest) override {
-    auto id = papers.deed.group();
+  void restore_document(const DocumentState& papers, std::uint64_t highest) override {
+    auto id = papers.id.group();
     bool known = groups_.count(id) > 0;
     Group& g = own_group(id);
     // Without a note nothing of the group was ever proposed, or the note is damaged: the others are asked.
     if (!known && id != current_) g.role = Role::returning, g.asks_since = now_;
     if (g.role == Role::former || g.role == Role::holder) {
       // Killed after it was known who took over, before the document was let go.
-      if (id.first != self_.member || papers.deed.number <= g.highest)
-        return done_.let_go.push_back(papers.deed);
-      Papers mine = papers;
-      mine.deed = next_deed(papers.deed.number);
-      done_.moved.emplace_back(papers.deed, mine.deed);
-      return recovered(mine, highest);
+      if (id.origin != self_.member || papers.id.document_number <= g.highest)
+        return done_.relinquished.push_back(papers.id);
+      DocumentState mine = papers;
+      mine.id = next_document_id(papers.id.document_number);
+      done_.renumbered.emplace_back(papers.id, mine.id);
+      return restore_document(mine, highest);
     }
-    hold(g, papers).papers.confirmed = true;
+    hold(g, papers).papers.acceptance_confirmed = true;
     // Of a group that was taken over here nobody adds documents: its note tells the highest.
-    if (g.id.first == self_.member) g.highest = std::max(g.highest, highest);
+    if (g.id.origin == self_.member) g.highest = std::max(g.highest, highest);
     if (g.role == Role::owner) g.acted = false;
   }
 
-  void risk(const Deed& deed, int transmission, HallId hall) override {
+  void record_transmission(const GlobalDocId& deed, int transmission, ZoneId hall) override {
     auto [g, doc] = own(deed);
     if (!doc) return;
-    doc->papers.transmissions = std::max(doc->papers.transmissions, transmission + 1);
+    doc->papers.transmission_count = std::max(doc->papers.transmission_count, transmission + 1);
     Risk risk{transmission, now_, hall, 0};
-    risk.event = log(*g, {EventKind::risk, deed.number, risk});
+    risk.event = log(*g, {EventKind::transmission_started, deed.document_number, risk});
     doc->risks.push_back(risk);
-    if (!acts(*g) || !goes(*g, *doc, transmission)) g->to_go.emplace_back(deed.number, transmission);
+    if (!acts(*g) || !goes(*g, *doc, transmission)) g->to_go.emplace_back(deed.document_number, transmission);
   }
-  void ran_not(const Deed& deed, int transmission) override {
+  void record_never_ran(const GlobalDocId& deed, int transmission) override {
     auto [g, doc] = own(deed);
     if (!doc) return;
     std::erase_if(doc->risks, [&](const Risk& risk) { return risk.transmission == transmission; });
-    log(*g, {EventKind::ran_not, deed.number, {transmission, 0, {}, 0}});
+    log(*g, {EventKind::transmission_never_ran, deed.document_number, {transmission, 0, {}, 0}});
   }
-  void ended(const Deed& deed, const std::string& record) override {
+  void record_ended(const GlobalDocId& deed, const std::string& record) override {
     auto [g, doc] = own(deed);
     if (!doc || doc->papers.ended) return;
     g->bytes -= doc->bytes();
     doc->papers.record = record, doc->papers.ended = true;
     g->bytes += doc->bytes();
-    doc->end_event = log(*g, {EventKind::paper, deed.number, {}});
-    if (!may_tell(deed)) g->to_tell.emplace_back(doc->end_event, deed.number);
+    doc->end_event = log(*g, {EventKind::document, deed.document_number, {}});
+    if (!may_report_end(deed)) g->to_tell.emplace_back(doc->end_event, deed.document_number);
   }
-  void over(const Deed& deed) override {
+  void remove(const GlobalDocId& deed) override {
     auto [g, doc] = own(deed);
     if (!doc) return;
-    drop(*g, deed.number);
-    log(*g, {EventKind::over, deed.number, {}});
+    drop(*g, deed.document_number);
+    log(*g, {EventKind::removed, deed.document_number, {}});
   }
 
-  bool owns(const Deed& deed) const override {
+  bool owns(const GlobalDocId& deed) const override {
     auto found = groups_.find(deed.group());
     return found != groups_.end() && found->second.acted && acts(found->second) &&
-           found->second.docs.count(deed.number) > 0;
+           found->second.docs.count(deed.document_number) > 0;
   }
-  bool answered(const Deed& deed) const override {
+  bool is_accepted(const GlobalDocId& deed) const override {
     auto doc = find(deed);
     return doc && doc->answered;
   }
-  bool may_go(const Deed& deed, int transmission) const override {
+  bool may_send(const GlobalDocId& deed, int transmission) const override {
     auto doc = find(deed);
     return doc && owns(deed) && goes(groups_.at(deed.group()), *doc, transmission);
   }
-  bool may_tell(const Deed& deed) const override {
+  bool may_report_end(const GlobalDocId& deed) const override {
     auto doc = find(deed);
     return doc && owns(deed) && doc->papers.ended && doc->end_event <= proven(groups_.at(deed.group()));
   }
@@ -300,17 +303,17 @@
     auto found = groups_.find(current_);
     return found == groups_.end() || acts(found->second);
   }
-  Count count() const override {
-    Count all = count_;
+  Statistics statistics() const override {
+    Statistics all = count_;
     for (const auto& [id, g] : groups_) {
       all.groups += g.role != Role::former;
-      (g.role == Role::holder ? all.copies : all.own) += g.docs.size();
+      (g.role == Role::holder ? all.replicated_documents : all.owned_documents) += g.docs.size();
     }
-    all.bytes = copies_bytes();
+    all.replicated_bytes = copies_bytes();
     return all;
   }
 
-  Decided decide() override {
+  Actions decide() override {
     own_group(current_);
     // From the first rule anew after each that fired: what is told to the host comes last, when all else is
     // settled.
@@ -328,7 +331,7 @@
   }
 
  private:
-  Millis beat() const { return set_.lease / beats_a_lease; }
+  Millis beat() const { return set_.lease_duration / beats_a_lease; }
   double drawn(double low, double high) { return std::uniform_real_distribution<double>(low, high)(chance_); }
   const std::string& name(MemberId member) const {
     static const std::string nobody = "nobody";
@@ -338,18 +341,18 @@
   void say(const char* what, const Group& g, MemberId other, std::uint64_t number) {
     char line[110];
     std::snprintf(line, sizeof line, "documents: %s, group %.20s %llu, %.20s: %llu", what,
-                  name(g.id.first).c_str(), static_cast<unsigned long long>(g.id.number), name(other).c_str(),
-                  static_cast<unsigned long long>(number));
-    done_.log.push_back(line);
+                  name(g.id.origin).c_str(), static_cast<unsigned long long>(g.id.number),
+                  name(other).c_str(), static_cast<unsigned long long>(number));
+    done_.log_lines.push_back(line);
   }
-  bool lives(const Seat& seat) const {
+  bool lives(const RelayInstance& seat) const {
     auto found = known_.find(seat.member);
-    return found != known_.end() && found->second.first == seat.life && is_up(found->second.second);
+    return found != known_.end() && found->second.first == seat.incarnation && is_up(found->second.second);
   }
-  static bool is_up(Condition condition) {
-    return condition == Condition::alive || condition == Condition::suspect;
+  static bool is_up(MemberState condition) {
+    return condition == MemberState::alive || condition == MemberState::suspect;
   }
-  Seat present(MemberId member) const {  // filled: it lives
+  RelayInstance present(MemberId member) const {  // filled: it lives
     auto found = known_.find(member);
     if (found == known_.end() || !is_up(found->second.second)) return {};
     return {member, found->second.first};
@@ -360,18 +363,18 @@
     Group& g = groups_[id];
     if (!g.views.empty()) return g;
     g.id = id, g.role = Role::owner, g.led_at = now_, g.acted = true;
-    g.views = {View{{1, self_.member}, 0, self_, {}}};
+    g.views = {Configuration{{1, self_.member}, 0, self_, {}}};
     g.voted = g.term();
     return g;
   }
-  Doc& hold(Group& g, const Papers& papers) {
-    drop(g, papers.deed.number);
-    Doc& doc = g.docs[papers.deed.number];
-    doc.papers = papers, doc.papers.risks.clear();
-    doc.expiry = now_ + papers.left;
-    for (const auto& risk : papers.risks)
-      doc.risks.push_back({risk.transmission, now_ - risk.ago, risk.hall, 0});
-    g.bytes += doc.bytes(), g.highest = std::max(g.highest, papers.deed.number);
+  Doc& hold(Group& g, const DocumentState& papers) {
+    drop(g, papers.id.document_number);
+    Doc& doc = g.docs[papers.id.document_number];
+    doc.papers = papers, doc.papers.in_doubt.clear();
+    doc.expiry = now_ + papers.time_left;
+    for (const auto& risk : papers.in_doubt)
+      doc.risks.push_back({risk.number, now_ - risk.age, risk.zone, 0});
+    g.bytes += doc.bytes(), g.highest = std::max(g.highest, papers.id.document_number);
     return doc;
   }
   void drop(Group& g, std::uint64_t number) {
@@ -380,26 +383,29 @@
     g.bytes -= found->second.bytes();
     g.docs.erase(found);
   }
-  Papers papers_of(const Doc& doc) const {
-    Papers papers = doc.papers;
-    papers.left = doc.expiry - now_;
-    for (const Risk& risk : doc.risks) papers.risks.push_back({risk.transmission, now_ - risk.at, risk.hall});
+  DocumentState papers_of(const Doc& doc) const {
+    DocumentState papers = doc.papers;
+    papers.time_left = doc.expiry - now_;
+    for (const Risk& risk : doc.risks)
+      papers.in_doubt.push_back({risk.transmission, now_ - risk.at, risk.hall});
     return papers;
   }
-  std::pair<Group*, Doc*> own(const Deed& deed) {
+  std::pair<Group*, Doc*> own(const GlobalDocId& deed) {
     auto found = groups_.find(deed.group());
     if (found == groups_.end() || found->second.role != Role::owner) return {};
-    auto doc = found->second.docs.find(deed.number);
+    auto doc = found->second.docs.find(deed.document_number);
     if (doc == found->second.docs.end()) return {};
     return {&found->second, &doc->second};
   }
-  const Doc* find(const Deed& deed) const {
+  const Doc* find(const GlobalDocId& deed) const {
     auto found = groups_.find(deed.group());
     if (found == groups_.end()) return nullptr;
-    auto doc = found->second.docs.find(deed.number);
+    auto doc = found->second.docs.find(deed.document_number);
     return doc == found->second.docs.end() ? nullptr : &doc->second;
   }
-  static Deed deed_of(const Group& g, std::uint64_t number) { return {g.id.first, g.id.number, number}; }
+  static GlobalDocId deed_of(const Group& g, std::uint64_t number) {
+    return {g.id.origin, g.id.number, number};
+  }
   std::size_t copies_bytes() const {
     std::size_t all = 0;
     for (const auto& [id, g] : groups_) all += g.role == Role::holder ? g.bytes : 0;
@@ -415,21 +421,21 @@
   // counts its promise from when the renewal came, and longer by the drift: it ends after this does.
   Millis lease_until(const Group& g) const {
     Millis until = never;
-    for (const View& view : g.views) {
+    for (const Configuration& view : g.views) {
       if (!binds(view)) continue;
       Millis best = -never;
-      for (const Seat& seat : view.holders)
+      for (const RelayInstance& seat : view.replicas)
         if (auto found = g.progress.find(seat); found != g.progress.end())
-          best = std::max(best, found->second.lease_from + set_.lease);
+          best = std::max(best, found->second.lease_from + set_.lease_duration);
       until = std::min(until, best);
     }
     return until;
   }
   bool acts(const Group& g) const { return g.role == Role::owner && now_ < lease_until(g); }
 
-  std::uint64_t noted(const Group& g, const View& view) const {
+  std::uint64_t noted(const Group& g, const Configuration& view) const {
     std::uint64_t best = 0;
-    for (const Seat& seat : view.holders)
+    for (const RelayInstance& seat : view.replicas)
       if (auto found = g.progress.find(seat); found != g.progress.end() && found->second.whole)
         best = std::max(best, found->second.noted);
     return best;
@@ -437,20 +443,20 @@
   // Up to which entry of the log a copy has it, in each view that may count.
   std::uint64_t copied(const Group& g) const {
     std::uint64_t all = UINT64_MAX;
-    for (const View& view : g.views) all = std::min(all, noted(g, view));
+    for (const Configuration& view : g.views) all = std::min(all, noted(g, view));
     return all;
   }
   // Safety: up to which entry whoever may be elected surely has it. Nobody can be where two holders lack.
   std::uint64_t proven(const Group& g) const {
     std::uint64_t all = UINT64_MAX;
-    for (const View& view : g.views)
+    for (const Configuration& view : g.views)
       if (binds(view)) all = std::min(all, noted(g, view));
     return all;
   }
   // Before it is answered nothing goes, so that one told to come again was surely never sent.
   bool goes(const Group& g, const Doc& doc, int transmission) const {
     if (!doc.answered) return false;
-    if (!doc.papers.needs_proof) return true;
+    if (!doc.papers.replicate_before_send) return true;
     auto risk = std::ranges::find(doc.risks, transmission, &Risk::transmission);
     return risk != doc.risks.end() && risk->event <= proven(g);
   }
@@ -458,27 +464,27 @@
   // Messages.
   CustodyMessage message(Kind kind, const Group& g) const {
     CustodyMessage m;
-    m.kind = kind, m.group = g.id, m.seat = self_, m.term = g.term(), m.highest = g.highest;
+    m.kind = kind, m.group = g.id, m.sender = self_, m.term = g.term(), m.highest_document = g.highest;
     return m;
   }
   void send(MemberId to, CustodyMessage message) { done_.sends.push_back({to, std::move(message)}); }
   void refuse(const CustodyMessage& m, const Group& g) {
     auto no = message(Kind::refused, g);
-    if (!g.views.empty()) no.view = g.view();
+    if (!g.views.empty()) no.configuration = g.view();
     no.term = g.voted;
-    send(m.seat.member, std::move(no));
+    send(m.sender.member, std::move(no));
   }
   void note(const Group& g) {
-    GroupNote note{g.id,      g.voted, g.views, g.role == Role::owner || g.role == Role::returning,
-                   g.highest, false};
-    std::erase_if(done_.notes, [&](const auto& other) { return other.group == g.id; });
-    done_.notes.push_back(std::move(note));
+    PersistentGroupState note{g.id,      g.voted, g.views, g.role == Role::owner || g.role == Role::returning,
+                              g.highest, false};
+    std::erase_if(done_.states_to_persist, [&](const auto& other) { return other.group == g.id; });
+    done_.states_to_persist.push_back(std::move(note));
   }
 
   // Of an owner, as a holder.
   void proposed(const CustodyMessage& m) {
-    const View& view = m.view;
-    if (m.seat != view.owner || view.holders.size() > 2) return;
+    const Configuration& view = m.configuration;
+    if (m.sender != view.owner || view.replicas.size() > 2) return;
     auto found = groups_.find(m.group);
     bool seated = sits(view, self_);
     if (found == groups_.end() && !seated) return;
@@ -489,35 +495,37 @@
     if (view.owner == self_) return;
     bool fresh = g.views.empty() || view.newer_than(g.view());
     if (fresh) {
-      if (g.role == Role::owner || g.role == Role::returning) deposed(g, view, m.highest);
+      if (g.role == Role::owner || g.role == Role::returning) deposed(g, view, m.highest_document);
       bool same = !g.views.empty() && g.view().owner == view.owner && g.role == Role::holder;
       if (!same) g.whole = false;
       g.views = {view}, g.voted = view.term, g.asking = false;
       if (same && g.whole) g.position.term = view.term;
-      if (!same) g.highest = m.highest;
+      if (!same) g.highest = m.highest_document;
       if (!seated) {
         release(g);
       } else g.role = Role::holder;
     }
     if (seated) give(g, view.owner);
-    auto yes = message(Kind::accepted, g);
-    yes.view.change = view.change, yes.number = m.number, yes.whole = g.whole, yes.position.number = g.cursor;
-    send(m.seat.member, std::move(yes));
+    auto yes = message(Kind::configuration_accepted, g);
+    yes.configuration.revision = view.revision, yes.number = m.number, yes.in_sync = g.whole,
+    yes.position.index = g.cursor;
+    send(m.sender.member, std::move(yes));
   }
   static void release(Group& g) {
     g.docs.clear(), g.bytes = 0;
     g.role = Role::former, g.position = {}, g.whole = g.asking = false;
   }
-  void give(Group& g, const Seat& owner) {
-    g.given_to = owner, g.given_until = now_ + set_.lease * (1 + set_.drift), g.made_way = false;
-    g.try_at = g.given_until + patience * set_.lease * drawn(1, 2), g.asking = false;
+  void give(Group& g, const RelayInstance& owner) {
+    g.given_to = owner, g.given_until = now_ + set_.lease_duration * (1 + set_.max_clock_drift),
+    g.made_way = false;
+    g.try_at = g.given_until + patience * set_.lease_duration * drawn(1, 2), g.asking = false;
   }
   // Whether this relay is the sender's holder, in its view.
   Group* holds_for(const CustodyMessage& m) {
     auto found = groups_.find(m.group);
     if (found == groups_.end()) return nullptr;
     Group& g = found->second;
-    if (g.role == Role::holder && g.view().owner == m.seat && g.term() == m.term && g.voted == m.term)
+    if (g.role == Role::holder && g.view().owner == m.sender && g.term() == m.term && g.voted == m.term)
       return &g;
     if (!g.views.empty()) refuse(m, g);
     return nullptr;
@@ -525,16 +533,16 @@
   void renew(const CustodyMessage& m) {
     Group* g = holds_for(m);
     if (!g) return;
-    give(*g, m.seat);
-    auto yes = message(Kind::renewed, *g);
+    give(*g, m.sender);
+    auto yes = message(Kind::lease_renewed, *g);
     yes.number = m.number, yes.yes = leaving_;
-    send(m.seat.member, std::move(yes));
+    send(m.sender.member, std::move(yes));
   }
   void stream(const CustodyMessage& m) {
     Group* g = holds_for(m);
     if (!g || m.number == 0) return;
     auto number = m.number - 1;
-    for (const auto& event : m.events) {
+    for (const auto& event : m.entries) {
       ++number;
       // One not whole takes what comes: what it lacks is found by the next digests.
       if (g->whole && number != g->cursor + 1) {
@@ -542,8 +550,8 @@
         break;
       }
       // Guards against an owner that fills this relay's memory: it is told no further, and goes elsewhere.
-      if (event.kind == EventKind::paper && !event.papers.empty() &&
-          copies_bytes() + event.papers.front().record.size() > copies_bytes_most) {
+      if (event.kind == EventKind::document && !event.documents.empty() &&
+          copies_bytes() + event.documents.front().record.size() > copies_bytes_most) {
         g->whole = false;
         break;
       }
@@ -554,30 +562,31 @@
   }
   void note_back(Group& g, const CustodyMessage& m) {
     if (g.whole) g.position = {g.term(), g.cursor};
-    auto yes = message(Kind::noted, g);
-    yes.number = g.cursor, yes.whole = g.whole;
-    send(m.seat.member, std::move(yes));
-  }
-  void apply(Group& g, const CustodyEvent& event) {
-    if (event.kind == EventKind::paper) {
-      if (!event.papers.empty() && event.papers.front().deed == deed_of(g, event.deed))
-        hold(g, event.papers.front());
+    auto yes = message(Kind::entries_acknowledged, g);
+    yes.number = g.cursor, yes.in_sync = g.whole;
+    send(m.sender.member, std::move(yes));
+  }
+  void apply(Group& g, const WireLogEntry& event) {
+    if (event.kind == EventKind::document) {
+      if (!event.documents.empty() && event.documents.front().id == deed_of(g, event.document_number))
+        hold(g, event.documents.front());
       return;
     }
-    if (event.kind == EventKind::over) return drop(g, event.deed);
-    auto found = g.docs.find(event.deed);
+    if (event.kind == EventKind::removed) return drop(g, event.document_number);
+    auto found = g.docs.find(event.document_number);
     if (found == g.docs.end()) return;
     Doc& doc = found->second;
     std::erase_if(doc.risks, [&](const Risk& risk) {
-      return event.kind != EventKind::confirmed && risk.transmission == event.risk.transmission;
+      return event.kind != EventKind::acceptance_confirmed && risk.transmission == event.transmission.number;
     });
-    if (event.kind == EventKind::confirmed) doc.papers.confirmed = true;
-    if (event.kind == EventKind::risk) {
-      doc.risks.push_back({event.risk.transmission, now_ - event.risk.ago, event.risk.hall, 0});
-      doc.papers.transmissions = std::max(doc.papers.transmissions, event.risk.transmission + 1);
+    if (event.kind == EventKind::acceptance_confirmed) doc.papers.acceptance_confirmed = true;
+    if (event.kind == EventKind::transmission_started) {
+      doc.risks.push_back(
+          {event.transmission.number, now_ - event.transmission.age, event.transmission.zone, 0});
+      doc.papers.transmission_count = std::max(doc.papers.transmission_count, event.transmission.number + 1);
     }
   }
-  static std::uint64_t sum(const Group& g, const DeedRange& range) {
+  static std::uint64_t sum(const Group& g, const DocumentRange& range) {
     std::uint64_t all = 0;
     for (auto at = g.docs.lower_bound(range.first); at != g.docs.end() && at->first < range.end; ++at)
       all += sum_of(at->first, at->second);
@@ -586,28 +595,29 @@
   void digests(const CustodyMessage& m) {
     Group* g = holds_for(m);
     if (!g) return;
-    auto wanted = message(Kind::wanted, *g);
+    auto wanted = message(Kind::request_ranges, *g);
     for (const auto& range : m.ranges)
-      if (sum(*g, range) != range.sum) wanted.ranges.push_back(range);
+      if (sum(*g, range) != range.digest) wanted.ranges.push_back(range);
     g->cursor = m.number;
     g->whole = wanted.ranges.empty();
-    if (g->whole) return g->aged = false, g->highest = std::max(g->highest, m.highest), note_back(*g, m);
-    send(m.seat.member, std::move(wanted));
+    if (g->whole)
+      return g->aged = false, g->highest = std::max(g->highest, m.highest_document), note_back(*g, m);
+    send(m.sender.member, std::move(wanted));
   }
   void part(const CustodyMessage& m) {
     Group* g = holds_for(m);
     if (!g || m.ranges.size() != 1) return;
     const auto& range = m.ranges.front();
     std::size_t bytes = 0;
-    for (const auto& papers : m.papers) bytes += papers.record.size() + upkeep_bytes;
+    for (const auto& papers : m.documents) bytes += papers.record.size() + upkeep_bytes;
     if (copies_bytes() + bytes > copies_bytes_most) return;
     for (auto at = g->docs.lower_bound(range.first); at != g->docs.end() && at->first < range.end;)
       drop(*g, (at++)->first);
-    for (const auto& papers : m.papers)
-      if (papers.deed.group() == g->id) hold(*g, papers);
-    auto had = message(Kind::wanted, *g);
+    for (const auto& papers : m.documents)
+      if (papers.id.group() == g->id) hold(*g, papers);
+    auto had = message(Kind::request_ranges, *g);
     had.yes = true, had.ranges = m.ranges;
-    send(m.seat.member, std::move(had));
+    send(m.sender.member, std::move(had));
   }
 
   // Of a holder, as the owner.
@@ -615,28 +625,28 @@
     auto found = groups_.find(m.group);
     if (found == groups_.end() || found->second.role != Role::owner || m.term != found->second.term()) return;
     Group& g = found->second;
-    auto at = g.progress.find(m.seat);
+    auto at = g.progress.find(m.sender);
     if (at == g.progress.end()) return;
     Progress& p = at->second;
-    if (m.kind == Kind::accepted || m.kind == Kind::renewed) {
+    if (m.kind == Kind::configuration_accepted || m.kind == Kind::lease_renewed) {
       if (auto sent = p.renewals.find(m.number); sent != p.renewals.end()) {
         p.lease_from = std::max(p.lease_from, sent->second);
         p.renewals.erase(p.renewals.begin(), std::next(sent));
       }
-      if (m.kind == Kind::renewed && m.yes) leavers_.insert(m.seat);
-      if (m.kind == Kind::accepted) {
-        p.accepted = p.accepted || m.view.change == g.view().change;
-        if (!m.whole && p.whole) p.whole = false, p.start_over(g.log_end);
-        if (m.whole && !p.whole && m.position.number <= g.log_end &&
-            m.position.number + g.log.size() >= g.log_end)
-          p.whole = true, p.noted = p.sent = m.position.number;
+      if (m.kind == Kind::lease_renewed && m.yes) leavers_.insert(m.sender);
+      if (m.kind == Kind::configuration_accepted) {
+        p.accepted = p.accepted || m.configuration.revision == g.view().revision;
+        if (!m.in_sync && p.whole) p.whole = false, p.start_over(g.log_end);
+        if (m.in_sync && !p.whole && m.position.index <= g.log_end &&
+            m.position.index + g.log.size() >= g.log_end)
+          p.whole = true, p.noted = p.sent = m.position.index;
       }
-    } else if (m.kind == Kind::noted) {
+    } else if (m.kind == Kind::entries_acknowledged) {
       if (m.number > g.log_end) return;
-      if (m.whole && !p.whole) {
+      if (m.in_sync && !p.whole) {
         p.whole = true, p.noted = 0, p.todo.clear(), p.parts_out = 0, p.digests_out = false;
         p.sent = std::max(p.sent, m.number);
-      } else if (!m.whole && p.whole) {
+      } else if (!m.in_sync && p.whole) {
         p.whole = false, p.start_over(g.log_end);  // it had no room, or lost its place
       }
       p.heard_of(m.number);
@@ -652,11 +662,11 @@
     if (found == groups_.end()) return;
     Group& g = found->second;
     g.higher = std::max(g.higher, m.term);
-    if (!g.views.empty() && !m.view.owner.filled()) return;
-    learn(g, m.view, m.highest);
+    if (!g.views.empty() && !m.configuration.owner.is_valid()) return;
+    learn(g, m.configuration, m.highest_document);
   }
   // A view that another member knows, newer than what is known here.
-  void learn(Group& g, const View& view, std::uint64_t highest) {
+  void learn(Group& g, const Configuration& view, std::uint64_t highest) {
     if (g.views.empty() || view.term <= g.term()) {
       // As one that lost its place meanwhile: a holder that was replaced, by its own owner.
       if (g.views.empty() || g.role != Role::holder || !view.newer_than(g.view()) || sits(view, self_))
@@ -670,25 +680,25 @@
     else g.role = Role::holder;
     g.whole = g.asking = false;
     g.views = {view}, g.voted = std::max(g.voted, view.term), g.highest = highest;
-    g.try_at = now_ + set_.lease * (1 + set_.drift);
+    g.try_at = now_ + set_.lease_duration * (1 + set_.max_clock_drift);
     if (g.role == Role::former) note(g);
   }
 
   // Another owns the group: what it knew of is its own now; what it never heard of stays here, as new.
-  void deposed(Group& g, const View& by, std::uint64_t highest) {
+  void deposed(Group& g, const Configuration& by, std::uint64_t highest) {
     say("taken over by another", g, by.owner.member, g.docs.size());
     if (g.id == current_) ++current_.number;
-    std::vector<std::pair<Deed, Doc>> kept;
+    std::vector<std::pair<GlobalDocId, Doc>> kept;
     for (auto at = g.docs.begin(); at != g.docs.end();) {
       auto [number, doc] = *at++;
-      if (number > highest && g.id.first == self_.member) {
+      if (number > highest && g.id.origin == self_.member) {
         kept.emplace_back(deed_of(g, number), doc);
         drop(g, number);
         continue;
       }
       // Whoever has it now owes it: its client may hear so.
-      if (!doc.answered) done_.answerable.push_back(deed_of(g, number));
-      done_.let_go.push_back(deed_of(g, number));
+      if (!doc.answered) done_.accepted.push_back(deed_of(g, number));
+      done_.relinquished.push_back(deed_of(g, number));
     }
     if (g.role == Role::returning) g.position = {};
     else if (!g.from_copies) g.position = {g.term(), g.log_end};
@@ -698,18 +708,18 @@
     auto to_go = std::exchange(g.to_go, {});
     note(g);
     for (auto& [deed, doc] : kept) {
-      doc.papers.deed = next_deed(deed.number);
-      Group& to = own_group(doc.papers.deed.group());
-      done_.moved.emplace_back(deed, doc.papers.deed);
-      Doc& moved = to.docs[deed.number] = doc;
-      to.bytes += moved.bytes(), to.highest = std::max(to.highest, deed.number);
-      moved.paper_event = log(to, {EventKind::paper, deed.number, {}});
+      doc.papers.id = next_document_id(deed.document_number);
+      Group& to = own_group(doc.papers.id.group());
+      done_.renumbered.emplace_back(deed, doc.papers.id);
+      Doc& moved = to.docs[deed.document_number] = doc;
+      to.bytes += moved.bytes(), to.highest = std::max(to.highest, deed.document_number);
+      moved.paper_event = log(to, {EventKind::document, deed.document_number, {}});
       for (Risk& risk : moved.risks) risk.event = moved.paper_event;
       if (moved.papers.ended) {
         moved.end_event = moved.paper_event;
-        to.to_tell.emplace_back(moved.end_event, deed.number);
+        to.to_tell.emplace_back(moved.end_event, deed.document_number);
       }
-      if (!moved.answered) to.to_answer.emplace_back(moved.paper_event, deed.number);
+      if (!moved.answered) to.to_answer.emplace_back(moved.paper_event, deed.document_number);
     }
     for (const auto& [number, transmission] : to_go) {
       auto& to = groups_[current_];
@@ -720,81 +730,84 @@
   // Votes.
   void asked(const CustodyMessage& m) {
     auto found = groups_.find(m.group);
-    bool mine = m.view.owner.member == m.seat.member;  // the owner itself, in this life or a later one
-    Seat place;                                        // of this relay, maybe in an earlier life
-    for (const Seat& seat : m.view.holders)
+    bool mine =
+        m.configuration.owner.member == m.sender.member;  // the owner itself, in this life or a later one
+    RelayInstance place;                                  // of this relay, maybe in an earlier life
+    for (const RelayInstance& seat : m.configuration.replicas)
       if (seat.member == self_.member) place = seat;
-    if (m.view.owner.member == self_.member) place = m.view.owner;
+    if (m.configuration.owner.member == self_.member) place = m.configuration.owner;
     bool present = place == self_;
     CustodyMessage no;
-    no.kind = Kind::vote, no.group = m.group, no.seat = self_, no.term = m.term, no.trial = m.trial;
-    no.view.change = m.view.change;
+    no.kind = Kind::vote, no.group = m.group, no.sender = self_, no.term = m.term, no.pre_vote = m.pre_vote;
+    no.configuration.revision = m.configuration.revision;
     auto deny = [&] {
       if (found != groups_.end() && !found->second.views.empty()) {
-        no.view = found->second.view(), no.term = found->second.voted, no.highest = found->second.highest;
-        no.number = m.view.change;
+        no.configuration = found->second.view(), no.term = found->second.voted,
+        no.highest_document = found->second.highest;
+        no.number = m.configuration.revision;
       }
-      send(m.seat.member, no);
+      send(m.sender.member, no);
     };
-    if (found == groups_.end() && (!place.filled() || present || !mine)) return deny();
+    if (found == groups_.end() && (!place.is_valid() || present || !mine)) return deny();
     // Safety: a restarted holder has lost its copies, but its folder tells how it voted; by its word nobody
     // but the owner goes on, who has all. A folder that did not see that life tells nothing.
-    if (!present && !(mine && place.filled() && lived_.count(place.life) > 0)) return deny();
+    if (!present && !(mine && place.is_valid() && lived_.count(place.incarnation) > 0)) return deny();
     // Safety: nor does it know whom that life gave a lease to, so it waits for the end of any.
-    if (!present && now_ < started_ + set_.lease * (1 + set_.drift)) return deny();
+    if (!present && now_ < started_ + set_.lease_duration * (1 + set_.max_clock_drift)) return deny();
     Group& g = groups_[m.group];
     g.id = m.group;
-    bool again = g.voted == m.term && !m.trial && g.asked == m.term && g.given_to == m.seat;
+    bool again = g.voted == m.term && !m.pre_vote && g.asked == m.term && g.given_to == m.sender;
     if (!again) {
       if (m.term <= g.voted) return deny();
       // Safety: by its last vote before its restart another may own the group: with its copies it lost
       // whether.
-      if (!present && g.voted > m.view.term && g.voted.origin != m.seat.member) return deny();
+      if (!present && g.voted > m.configuration.term && g.voted.origin != m.sender.member) return deny();
       if (g.role == Role::owner || g.role == Role::returning) return deny();
       if (!g.views.empty()) {
-        const View& known = g.view();
-        if (known.term > m.view.term) return deny();
+        const Configuration& known = g.view();
+        if (known.term > m.configuration.term) return deny();
         // Safety: an owner that knows less of its own changes than its holder has an older folder.
-        if (mine && known.term == m.view.term && known.change > m.number) return deny();
-        if (!mine && known.newer_than(m.view)) return deny();
+        if (mine && known.term == m.configuration.term && known.revision > m.number) return deny();
+        if (!mine && known.newer_than(m.configuration)) return deny();
       }
       // Safety: not before the lease given to another has surely ended.
-      if (now_ < g.given_until && g.given_to != m.seat) return deny();
+      if (now_ < g.given_until && g.given_to != m.sender) return deny();
       if (present && g.role == Role::holder) {
         // Safety: nobody is elected who lacks what this copy has.
-        bool has = g.position.term.count > 0;
-        if (mine ? has && m.returning && m.highest < g.highest : !has || m.position < g.position)
+        bool has = g.position.term.counter > 0;
+        if (mine ? has && m.recovering && m.highest_document < g.highest : !has || m.position < g.position)
           return deny();
       } else if (!mine) return deny();
     }
     CustodyMessage yes = no;
-    yes.yes = true, yes.number = m.view.change, yes.view = {}, yes.highest = g.highest;
-    if (m.trial) return send(m.seat.member, yes);
+    yes.yes = true, yes.number = m.configuration.revision, yes.configuration = {},
+    yes.highest_document = g.highest;
+    if (m.pre_vote) return send(m.sender.member, yes);
     if (!again) {
-      g.voted = g.asked = m.term, g.asking = false, g.given_to = m.seat, g.given_until = -never;
-      g.try_at = now_ + set_.lease * (1 + set_.drift) * drawn(1, 1.5);
-      if (g.views.empty()) g.views = {m.view}, g.role = Role::former;
+      g.voted = g.asked = m.term, g.asking = false, g.given_to = m.sender, g.given_until = -never;
+      g.try_at = now_ + set_.lease_duration * (1 + set_.max_clock_drift) * drawn(1, 1.5);
+      if (g.views.empty()) g.views = {m.configuration}, g.role = Role::former;
       note(g);
     }
     // One that returned may have an older folder, or have ended what was not told: it hears what is here.
-    if (m.returning && present && g.role == Role::holder && g.position.term.count > 0) {
+    if (m.recovering && present && g.role == Role::holder && g.position.term.counter > 0) {
       auto list = message(Kind::inventory, g);
-      list.term = m.term, list.whole = g.whole && !g.aged,
-      list.number = yes.position.number = g.docs.size() + 1;
+      list.term = m.term, list.in_sync = g.whole && !g.aged,
+      list.number = yes.position.index = g.docs.size() + 1;
       auto flush = [&](bool last) {
         list.yes = last;
-        send(m.seat.member, list);
-        list.papers.clear();
+        send(m.sender.member, list);
+        list.documents.clear();
       };
       for (const auto& [number, doc] : g.docs) {
-        Papers papers = papers_of(doc);
+        DocumentState papers = papers_of(doc);
         papers.record.clear();
-        list.papers.push_back(std::move(papers));
-        if (list.papers.size() >= inventory_docs) flush(false);
+        list.documents.push_back(std::move(papers));
+        if (list.documents.size() >= inventory_docs) flush(false);
       }
       flush(true);
     }
-    send(m.seat.member, yes);
+    send(m.sender.member, yes);
   }
   void vote(const CustodyMessage& m) {
     auto found = groups_.find(m.group);
@@ -802,30 +815,30 @@
     Group& g = found->second;
     if (!m.yes) {
       g.higher = std::max(g.higher, m.term);
-      if (!m.view.owner.filled()) return;
+      if (!m.configuration.owner.is_valid()) return;
       // Safety: of its own changes it knows less than another does: an older folder, which must not go on.
-      if (g.role == Role::returning && m.view.newer_than(g.view())) g.objected = true;
-      return learn(g, m.view, m.highest);
+      if (g.role == Role::returning && m.configuration.newer_than(g.view())) g.objected = true;
+      return learn(g, m.configuration, m.highest_document);
     }
-    if (!g.asking || m.term != g.asked || m.trial != g.trial) return;
+    if (!g.asking || m.term != g.asked || m.pre_vote != g.trial) return;
     // Safety: the answers of one vote are not those of another, nor of another life of the voter.
-    if (auto before = g.voters.find(m.seat.member); before != g.voters.end() && before->second != m.seat)
+    if (auto before = g.voters.find(m.sender.member); before != g.voters.end() && before->second != m.sender)
       return;
-    g.yes.insert({m.number, m.seat.member}), g.voters[m.seat.member] = m.seat;
-    if (m.position.number > 0) g.inventories[m.seat.member].second = m.position.number;
+    g.yes.insert({m.number, m.sender.member}), g.voters[m.sender.member] = m.sender;
+    if (m.position.index > 0) g.inventories[m.sender.member].second = m.position.index;
   }
   void inventory(const CustodyMessage& m) {
     auto found = groups_.find(m.group);
     if (found == groups_.end()) return;
     Group& g = found->second;
     if (!g.asking || g.trial || m.term != g.asked || g.role != Role::returning) return;
-    auto& [got, all] = g.inventories[m.seat.member];
-    if (got == 0) g.held_by.push_back({m.whole ? m.highest : 0, {}});
-    got += m.papers.size() + m.yes, all = m.number;
-    for (const auto& papers : m.papers) {
-      g.held_by.back().second.insert(papers.deed.number);
-      for (const auto& risk : papers.risks) {
-        auto& risks = g.listed[papers.deed.number];
+    auto& [got, all] = g.inventories[m.sender.member];
+    if (got == 0) g.held_by.push_back({m.in_sync ? m.highest_document : 0, {}});
+    got += m.documents.size() + m.yes, all = m.number;
+    for (const auto& papers : m.documents) {
+      g.held_by.back().second.insert(papers.id.document_number);
+      for (const auto& risk : papers.in_doubt) {
+        auto& risks = g.listed[papers.id.document_number];
         risks.push_back(risk);
       }
     }
@@ -839,15 +852,15 @@
     // So does one whose holders restarted: their folders tell that nobody was elected.
     if (g.role == Role::owner)
       return now_ >= g.try_at && std::ranges::any_of(g.views, binds) &&
-             (g.higher > g.term() || (!acts(g) && now_ >= g.led_at + set_.lease));
+             (g.higher > g.term() || (!acts(g) && now_ >= g.led_at + set_.lease_duration));
     return g.role == Role::holder && binds(g.view()) && now_ >= g.try_at && now_ >= g.given_until &&
-           g.position.term.count > 0;
+           g.position.term.counter > 0;
   }
   void ask(Group& g) {
     bool owner = g.role != Role::holder;
     // Without room, the other holder goes first; nobody else: a document is owed all the same.
     if (!room_ && !owner && !g.asking) {
-      if (!std::exchange(g.made_way, true)) return void(g.try_at = now_ + 2 * set_.lease);
+      if (!std::exchange(g.made_way, true)) return void(g.try_at = now_ + 2 * set_.lease_duration);
     }
     bool trial = g.role == Role::holder && !g.trial;
     if (g.asking && g.role == Role::holder && !trial) trial = true;  // the vote came to nothing
@@ -859,19 +872,19 @@
     if (!repeat) {
       if (g.role == Role::returning && !g.asking) g.asks_since = now_;
       auto above = std::max({g.voted, g.term(), g.higher});
-      g.asked = {above.count + 1, self_.member};
+      g.asked = {above.counter + 1, self_.member};
       g.yes.clear(), g.voters.clear(), g.inventories.clear(), g.listed.clear(), g.held_by.clear();
       if (!trial) g.voted = g.asked, note(g);
     } else {
       g.inventories.clear(), g.listed.clear(), g.held_by.clear();
     }
     g.asking = true, g.trial = trial, g.asked_at = now_;
-    for (const View& view : g.views) {
-      auto m = message(Kind::ask, g);
-      m.view = view, m.term = g.asked, m.trial = trial, m.returning = g.role == Role::returning;
-      m.number = g.view().change;
-      m.position = g.role == Role::holder ? g.position : Position{g.term(), g.log_end};
-      for (const Seat& seat : view.holders)
+    for (const Configuration& view : g.views) {
+      auto m = message(Kind::request_vote, g);
+      m.configuration = view, m.term = g.asked, m.pre_vote = trial, m.recovering = g.role == Role::returning;
+      m.number = g.view().revision;
+      m.position = g.role == Role::holder ? g.position : LogPosition{g.term(), g.log_end};
+      for (const RelayInstance& seat : view.replicas)
         if (seat.member != self_.member) send(seat.member, m);
       if (view.owner.member != self_.member) send(view.owner.member, m);
     }
@@ -879,8 +892,9 @@
     if (g.role == Role::returning)
       for (MemberId other : ring_)
         if (!sits(g.view(), other)) {
-          auto m = message(Kind::ask, g);
-          m.view = g.view(), m.term = g.asked, m.trial = true, m.returning = true, m.number = g.view().change;
+          auto m = message(Kind::request_vote, g);
+          m.configuration = g.view(), m.term = g.asked, m.pre_vote = true, m.recovering = true,
+          m.number = g.view().revision;
           send(other, m);
         }
   }
@@ -888,9 +902,9 @@
   bool is_elected(Group& g) {
     if (!g.asking || g.role == Role::former || (!g.trial && g.voted != g.asked)) return false;
     if (g.role == Role::holder && !binds(g.view())) return false;
-    for (const View& view : g.views)
+    for (const Configuration& view : g.views)
       if (binds(view) && std::ranges::none_of(g.yes, [&](const auto& vote) {
-            return vote.first == view.change && sits(view, vote.second);
+            return vote.first == view.revision && sits(view, vote.second);
           }))
         return false;
     if (g.role != Role::returning) return true;
@@ -898,34 +912,34 @@
     for (const auto& [member, list] : g.inventories)
       if (list.first != list.second) return false;
     // The other holders' word is waited for while they live: the folder may be older than what they know.
-    bool waited = now_ >= g.asks_since + return_patience * set_.lease;
+    bool waited = now_ >= g.asks_since + return_patience * set_.lease_duration;
     if (!waited && !binds(g.view()) && !ring_.empty()) return false;
-    for (const View& view : g.views)
-      for (const Seat& seat : view.holders)
+    for (const Configuration& view : g.views)
+      for (const RelayInstance& seat : view.replicas)
         if (!waited && !g.voters.count(seat.member)) {
           auto known = known_.find(seat.member);
-          if (known == known_.end() || known->second.second != Condition::dead) return false;
+          if (known == known_.end() || known->second.second != MemberState::dead) return false;
         }
     return true;
   }
   void elect(Group& g) {
     if (g.trial) return begin_vote(g, false);
     bool returned = g.role == Role::returning, taken = g.role == Role::holder;
-    View before = g.view(), next;
+    Configuration before = g.view(), next;
     next.term = g.asked, next.owner = self_;
-    for (const Seat& seat : before.holders)
+    for (const RelayInstance& seat : before.replicas)
       if (seat.member != self_.member) {
         auto voter = g.voters.find(seat.member);
-        next.holders.push_back(voter == g.voters.end() || !sits(before, seat.member) ? seat : voter->second);
+        next.replicas.push_back(voter == g.voters.end() || !sits(before, seat.member) ? seat : voter->second);
       }
     // Safety: the same three seats, so that the next election meets this one; the old owner's is a holder's
     // now.
-    if (before.owner.member != self_.member) next.holders.push_back(before.owner);
+    if (before.owner.member != self_.member) next.replicas.push_back(before.owner);
     g.asking = false, g.trial = false, g.views = {next}, g.beat_at = now_, g.led_at = now_;
-    g.try_at = now_ + set_.lease;
+    g.try_at = now_ + set_.lease_duration;
     if (returned) reconcile(g);
     if (taken) {
-      g.log_end = g.position.number, g.log.clear(), g.from_copies = true, g.acted = false;
+      g.log_end = g.position.index, g.log.clear(), g.from_copies = true, g.acted = false;
       ++count_.takeovers;
       say("takes over", g, before.owner.member, g.docs.size());
     }
@@ -947,16 +961,15 @@
       if (auto found = g.docs.find(number); found != g.docs.end())
         for (const auto& risk : risks) {
           Doc& doc = found->second;
-          auto known = std::ranges::find(doc.risks, risk.transmission, &Risk::transmission);
-          if (known == doc.risks.end())
-            doc.risks.push_back({risk.transmission, now_ - risk.ago, risk.hall, 0});
-          doc.papers.transmissions = std::max(doc.papers.transmissions, risk.transmission + 1);
+          auto known = std::ranges::find(doc.risks, risk.number, &Risk::transmission);
+          if (known == doc.risks.end()) doc.risks.push_back({risk.number, now_ - risk.age, risk.zone, 0});
+          doc.papers.transmission_count = std::max(doc.papers.transmission_count, risk.number + 1);
         }
     for (const auto& [highest, deeds] : g.held_by)
       for (auto at = g.docs.begin(); at != g.docs.end();) {
         auto number = (at++)->first;
         if (number > highest || deeds.count(number)) continue;
-        done_.let_go.push_back(deed_of(g, number));
+        done_.relinquished.push_back(deed_of(g, number));
         drop(g, number);
       }
     g.listed.clear(), g.held_by.clear(), g.inventories.clear();
@@ -969,15 +982,16 @@
     bool taken = std::exchange(g.from_copies, false);
     for (auto& [number, doc] : g.docs) {
       // A document whose client may have been told to come again is taken for one that may have run.
-      if (taken && doc.papers.needs_proof && !doc.papers.confirmed && doc.risks.empty() && !doc.papers.ended)
-        doc.risks.push_back({doc.papers.transmissions, now_, HallId(UINT32_MAX), 0});
-      doc.papers.confirmed = doc.answered = true, doc.copied_by = never;
+      if (taken && doc.papers.replicate_before_send && !doc.papers.acceptance_confirmed &&
+          doc.risks.empty() && !doc.papers.ended)
+        doc.risks.push_back({doc.papers.transmission_count, now_, ZoneId(UINT32_MAX), 0});
+      doc.papers.acceptance_confirmed = doc.answered = true, doc.copied_by = never;
       // Its end is told once a copy of this owner's has it too.
       if (doc.papers.ended && doc.end_event == 0) {
-        doc.end_event = log(g, {EventKind::paper, number, {}});
+        doc.end_event = log(g, {EventKind::document, number, {}});
         g.to_tell.emplace_back(doc.end_event, number);
       }
-      (taken ? done_.taken_over : done_.regained).push_back(papers_of(doc));
+      (taken ? done_.taken_over : done_.resumed).push_back(papers_of(doc));
     }
   }
   bool is_copied(Group& g) {
@@ -990,9 +1004,10 @@
       g.to_answer.pop_front();
       auto found = g.docs.find(number);
       if (found == g.docs.end() || found->second.answered) continue;
-      found->second.answered = found->second.papers.confirmed = true, found->second.copied_by = never;
-      done_.answerable.push_back(deed_of(g, number));
-      log(g, {EventKind::confirmed, number, {}});
+      found->second.answered = found->second.papers.acceptance_confirmed = true,
+      found->second.copied_by = never;
+      done_.accepted.push_back(deed_of(g, number));
+      log(g, {EventKind::acceptance_confirmed, number, {}});
     }
   }
   bool is_too_late(Group& g) {
@@ -1005,9 +1020,9 @@
     g.to_answer.pop_front();
     auto found = g.docs.find(number);
     if (found == g.docs.end() || found->second.answered) return;
-    done_.not_taken.push_back(deed_of(g, number));
+    done_.not_accepted.push_back(deed_of(g, number));
     drop(g, number);
-    log(g, {EventKind::over, number, {}});
+    log(g, {EventKind::removed, number, {}});
   }
   bool some_may_go(Group& g) {
     return !g.to_go.empty() && acts(g) && std::ranges::any_of(g.to_go, [&](const auto& one) {
@@ -1020,7 +1035,7 @@
       auto found = g.docs.find(one.first);
       if (found == g.docs.end()) return true;
       if (!goes(g, found->second, one.second)) return false;
-      done_.may_go.emplace_back(deed_of(g, one.first), one.second);
+      done_.cleared_transmissions.emplace_back(deed_of(g, one.first), one.second);
       return true;
     });
   }
@@ -1030,7 +1045,7 @@
   void tell_end(Group& g) {
     auto number = g.to_tell.front().second;
     g.to_tell.pop_front();
-    if (g.docs.count(number)) done_.may_tell.push_back(deed_of(g, number));
+    if (g.docs.count(number)) done_.reportable_ends.push_back(deed_of(g, number));
   }
 
   // Safety: an older view no longer counts once a holder of it has the newest one: with the owner that is a
@@ -1038,12 +1053,12 @@
   bool is_settled(Group& g) {
     if (g.role != Role::owner || g.views.size() < 2) return false;
     for (std::size_t i = 0; i + 1 < g.views.size(); ++i)
-      if (binds(g.views[i]) && std::ranges::none_of(g.views[i].holders, [&](const Seat& seat) {
+      if (binds(g.views[i]) && std::ranges::none_of(g.views[i].replicas, [&](const RelayInstance& seat) {
             auto found = g.progress.find(seat);
             return found != g.progress.end() && found->second.accepted;
           }))
         return false;
-    View last = g.views.back();
+    Configuration last = g.views.back();
     return !binds(last) || noted(g, last) >= std::min(proven(g), g.log_end);
   }
   void settle(Group& g) {
@@ -1053,72 +1068,73 @@
   }
 
   // The two holders that the group should have: those that sit and live stay.
-  std::vector<Seat> wanted(const Group& g) const {
-    std::vector<Seat> seats;
+  std::vector<RelayInstance> wanted(const Group& g) const {
+    std::vector<RelayInstance> seats;
     if (g.docs.empty() && g.id != current_) return seats;
     // One that leaves stays only for want of another: its copies go with it.
     for (bool leaving : {false, true}) {
-      for (const Seat& seat : g.view().holders)
+      for (const RelayInstance& seat : g.view().replicas)
         if (seats.size() < 2 && lives(seat) && leavers_.count(seat) == leaving) seats.push_back(seat);
       for (MemberId other : ring_) {
-        Seat seat = present(other);
-        if (seats.size() < 2 && seat.filled() && leavers_.count(seat) == leaving &&
-            std::ranges::find(seats, other, &Seat::member) == seats.end())
+        RelayInstance seat = present(other);
+        if (seats.size() < 2 && seat.is_valid() && leavers_.count(seat) == leaving &&
+            std::ranges::find(seats, other, &RelayInstance::member) == seats.end())
           seats.push_back(seat);
       }
     }
     return seats;
   }
-  std::vector<Seat> next_holders(Group& g) {
+  std::vector<RelayInstance> next_holders(Group& g) {
     auto seats = wanted(g);
-    const auto& now = g.view().holders;
+    const auto& now = g.view().replicas;
     if (seats == now) return now;
     if (now.size() < 2) return seats;
     // Safety: of two holders one stays, so that no two views elect without a seat in common.
-    std::vector<Seat> kept;
-    for (const Seat& seat : now)
+    std::vector<RelayInstance> kept;
+    for (const RelayInstance& seat : now)
       if (lives(seat)) kept.push_back(seat);
     if (kept.empty()) return now;
-    auto stays = [&](const Seat& seat) { return std::ranges::find(seats, seat) != seats.end(); };
+    auto stays = [&](const RelayInstance& seat) { return std::ranges::find(seats, seat) != seats.end(); };
     // Of those that should stay the one that answered last: the lease goes on by it.
-    std::ranges::stable_sort(kept, std::greater<>(), [&](const Seat& seat) {
+    std::ranges::stable_sort(kept, std::greater<>(), [&](const RelayInstance& seat) {
       auto found = g.progress.find(seat);
       return std::pair(stays(seat), found == g.progress.end() ? -never : found->second.lease_from);
     });
     if (seats.empty()) return {kept.front()};
     if (kept.size() == 2 && std::ranges::all_of(kept, stays)) return now;
-    std::vector<Seat> next{kept.front()};
-    for (const Seat& seat : seats)
+    std::vector<RelayInstance> next{kept.front()};
+    for (const RelayInstance& seat : seats)
       if (next.size() < 2 && seat != next.front()) next.push_back(seat);
-    for (const View& view : g.views)
-      if (binds(view) && next.size() == 2 &&
-          std::ranges::none_of(view.holders, [&](const Seat& s) { return s == next[0] || s == next[1]; }))
+    for (const Configuration& view : g.views)
+      if (binds(view) && next.size() == 2 && std::ranges::none_of(view.replicas, [&](const RelayInstance& s) {
+            return s == next[0] || s == next[1];
+          }))
         return now;
     return next;
   }
   bool wants_change(Group& g) {
     if (g.role != Role::owner || g.asking || g.views.size() >= views_most) return false;
-    return next_holders(g) != g.view().holders;
+    return next_holders(g) != g.view().replicas;
   }
   void change(Group& g) {
-    View next = g.view();
-    ++next.change, next.holders = next_holders(g);
+    Configuration next = g.view();
+    ++next.revision, next.replicas = next_holders(g);
     g.views.push_back(next), g.beat_at = now_;
-    ++count_.changes;
+    ++count_.configuration_changes;
     for (auto& [seat, progress] : g.progress) progress.accepted = false;
     note(g);
   }
 
   bool beat_is_due(Group& g) {
     return g.role == Role::owner && now_ >= g.beat_at &&
-           std::ranges::any_of(g.views, [](const View& view) { return !view.holders.empty(); });
+           std::ranges::any_of(g.views, [](const Configuration& view) { return !view.replicas.empty(); });
   }
   void send_beat(Group& g) {
     g.beat_at = now_ + beat();
     auto number = ++g.renewals;
-    std::set<Seat> seats;
-    for (const View& view : g.views) seats.insert(view.holders.begin(), view.holders.end());
-    for (const Seat& seat : seats) {
+    std::set<RelayInstance> seats;
+    for (const Configuration& view : g.views) seats.insert(view.replicas.begin(), view.replicas.end());
+    for (const RelayInstance& seat : seats) {
       auto [at, fresh] = g.progress.try_emplace(seat);
       Progress& p = at->second;
       if (fresh) p.sent = g.log_end;
@@ -1126,9 +1142,9 @@
       if (std::exchange(p.marked, p.noted) == p.noted && stuck && !fresh) p.start_over(g.log_end);
       p.renewals[number] = now_;
       while (p.renewals.size() > 64) p.renewals.erase(p.renewals.begin());
-      auto m = message(p.accepted ? Kind::renew : Kind::propose, g);
+      auto m = message(p.accepted ? Kind::renew_lease : Kind::propose_configuration, g);
       m.number = number;
-      if (!p.accepted) m.view = g.view();
+      if (!p.accepted) m.configuration = g.view();
       send(seat.member, std::move(m));
     }
   }
@@ -1154,20 +1170,20 @@
   void send_news(Group& g) {
     MemberId to{};
     Progress& p = *behind(g, &to, true);
-    auto m = message(Kind::stream, g);
+    auto m = message(Kind::append_entries, g);
     m.number = p.sent + 1;
     std::size_t bytes = 0;
     for (auto at = g.log.size() - (g.log_end - p.sent); at < g.log.size() && bytes < batch_bytes; ++at) {
       const Entry& entry = g.log[at];
-      CustodyEvent event{entry.kind, entry.deed, {}, {}};
-      event.risk = {entry.risk.transmission, now_ - entry.risk.at, entry.risk.hall};
-      if (entry.kind == EventKind::paper) {
+      WireLogEntry event{entry.kind, entry.deed, {}, {}};
+      event.transmission = {entry.risk.transmission, now_ - entry.risk.at, entry.risk.hall};
+      if (entry.kind == EventKind::document) {
         auto found = g.docs.find(entry.deed);
-        if (found == g.docs.end()) event.kind = EventKind::nothing;
-        else event.papers.push_back(papers_of(found->second)), bytes += found->second.bytes();
+        if (found == g.docs.end()) event.kind = EventKind::no_op;
+        else event.documents.push_back(papers_of(found->second)), bytes += found->second.bytes();
       }
       bytes += 64, ++p.sent;
-      m.events.push_back(std::move(event));
+      m.entries.push_back(std::move(event));
     }
     p.flight.emplace_back(p.sent, bytes), p.flight_bytes += bytes;
     send(to, std::move(m));
@@ -1180,24 +1196,24 @@
     MemberId to{};
     Progress& p = *behind(g, &to, false);
     if (!p.todo.empty()) {
-      auto m = message(Kind::part, g);
+      auto m = message(Kind::range_documents, g);
       m.ranges.push_back(p.todo.front()), p.todo.pop_front();
       const auto& range = m.ranges.front();
       for (auto at = g.docs.lower_bound(range.first); at != g.docs.end() && at->first < range.end; ++at)
-        m.papers.push_back(papers_of(at->second));
+        m.documents.push_back(papers_of(at->second));
       ++p.parts_out;
       return send(to, std::move(m));
     }
-    auto m = message(Kind::digests, g);
+    auto m = message(Kind::range_digests, g);
     m.number = g.log_end;
-    DeedRange range;
+    DocumentRange range;
     std::size_t docs = 0, bytes = 0;
     for (const auto& [number, doc] : g.docs) {
       if (docs >= range_docs || bytes + doc.bytes() > range_bytes) {
         if (docs > 0) range.end = number, m.ranges.push_back(range), range = {number, 0, 0};
         docs = bytes = 0;
       }
-      range.sum += sum_of(number, doc), ++docs, bytes += doc.bytes();
+      range.digest += sum_of(number, doc), ++docs, bytes += doc.bytes();
     }
     range.end = UINT64_MAX, m.ranges.push_back(range);
     p.digests_out = true;
@@ -1209,7 +1225,7 @@
   bool lacks_lease_for_long(Group& g) {
     if (g.role == Role::owner && acts(g)) g.led_at = now_;
     return g.role == Role::owner && (g.id == current_ || g.acted) &&
-           now_ >= g.led_at + give_up_after * set_.lease;
+           now_ >= g.led_at + give_up_after * set_.lease_duration;
   }
   void begin_anew(Group& g) {
     if (std::exchange(g.acted, false))
@@ -1232,7 +1248,7 @@
       bool past = now_ >= (at++)->second.expiry + (holder ? keep_expired : forget_after);
       if (!past) continue;
       if (holder) g.aged = true, g.whole = false;
-      else done_.let_go.push_back(deed_of(g, number));
+      else done_.relinquished.push_back(deed_of(g, number));
       drop(g, number);
     }
     say("let go past their expiry, nobody can prove to own them", g, self_.member, g.docs.size());
@@ -1247,15 +1263,15 @@
         ++at;
         continue;
       }
-      GroupNote note{at->first, {}, {}, false, 0, true};
-      done_.notes.push_back(note);
+      PersistentGroupState note{at->first, {}, {}, false, 0, true};
+      done_.states_to_persist.push_back(note);
       at = groups_.erase(at), --idle;
     }
   }
   bool is_idle(const Group& g) const {
     return g.id != current_ && g.docs.empty() &&
            (g.role == Role::former ||
-            (g.role == Role::owner && g.views.size() == 1 && g.view().holders.empty()));
+            (g.role == Role::owner && g.views.size() == 1 && g.view().replicas.empty()));
   }
 
   Millis next_due() {
@@ -1264,18 +1280,18 @@
     for (auto& [id, g] : groups_) {
       if (g.asking) wake(g.asked_at + beat());
       if (g.role == Role::owner) {
-        if (std::ranges::any_of(g.views, [](const View& view) { return !view.holders.empty(); }))
+        if (std::ranges::any_of(g.views, [](const Configuration& view) { return !view.replicas.empty(); }))
           wake(g.beat_at);
         if (!g.to_answer.empty())
           if (auto found = g.docs.find(g.to_answer.front().second); found != g.docs.end())
             wake(found->second.copied_by);
         if (!g.asking && std::ranges::any_of(g.views, binds) && (g.higher > g.term() || !acts(g)))
-          wake(g.higher > g.term() ? g.try_at : std::max(g.try_at, g.led_at + set_.lease));
-        wake(g.led_at + give_up_after * set_.lease);
+          wake(g.higher > g.term() ? g.try_at : std::max(g.try_at, g.led_at + set_.lease_duration));
+        wake(g.led_at + give_up_after * set_.lease_duration);
       }
-      if (g.role == Role::holder && binds(g.view()) && g.position.term.count > 0 && !g.asking)
+      if (g.role == Role::holder && binds(g.view()) && g.position.term.counter > 0 && !g.asking)
         wake(std::max(g.try_at, g.given_until));
-      if (g.role == Role::returning) wake(g.asks_since + return_patience * set_.lease);
+      if (g.role == Role::returning) wake(g.asks_since + return_patience * set_.lease_duration);
     }
     return due >= never ? -1 : due - now_;
   }
@@ -1297,20 +1313,20 @@
       {"past their expiry", &Keeper::some_are_past, &Keeper::drop_past},
   };
 
-  const Seat self_;
+  const RelayInstance self_;
   const CustodySettings set_;
   std::minstd_rand chance_;
   std::vector<MemberId> ring_;  // the others, in the order in which they are wanted as holders
   std::map<MemberId, std::string> names_;
-  std::map<MemberId, std::pair<Incarnation, Condition>> known_;
+  std::map<MemberId, std::pair<Incarnation, MemberState>> known_;
   std::set<Incarnation> lived_;
   std::map<GroupId, Group> groups_;
   GroupId current_;
   Millis now_ = 0, started_ = -1;
   bool room_ = true, leaving_ = false;
-  std::set<Seat> leavers_;  // of other relays' lives
-  Count count_;
-  Decided done_;
+  std::set<RelayInstance> leavers_;  // of other relays' lives
+  Statistics count_;
+  Actions done_;
 };
 
 }  // namespace
--- a/src/fleet/errors.h
+++ b/src/fleet/errors.h
@@ -31,7 +31,7 @@
   using FleetError::FleetError;
 };
 // Two processes say they are the same member: where is the member.
-class TwinMember : public FleetError {
+class DuplicateMember : public FleetError {
  public:
   using FleetError::FleetError;
 };
@@ -41,7 +41,7 @@
   using FleetError::FleetError;
 };
 // Copies of equal version and other content: where is the entry; both were kept aside.
-class CopiesDiffer : public FleetError {
+class VersionConflict : public FleetError {
  public:
   using FleetError::FleetError;
 };
@@ -51,7 +51,7 @@
   using FleetError::FleetError;
 };
 // What should be kept cannot be: where is the folder or file.
-class NoRoom : public FleetError {
+class StorageUnavailable : public FleetError {
  public:
   using FleetError::FleetError;
 };
--- a/src/fleet/ids.h
+++ b/src/fleet/ids.h
@@ -28,29 +28,29 @@
 // Who may be a member: from the configuration alone.
 struct Member {
   MemberId id{};
-  std::string name, hall;
+  std::string name, zone;
 };
 using Roster = std::vector<Member>;  // ordered by id, this relay's own entry included
 
 // What is found out of a member. A suspect is treated as alive by whoever could harm by not doing so.
-enum class Condition : std::uint8_t { unknown, alive, suspect, dead };
+enum class MemberState : std::uint8_t { unknown, alive, suspect, dead };
 
 // Which word on one thing is the newer: a count that every member keeps above all that it has heard (Lamport,
 // "Time, Clocks, and the Ordering of Events in a Distributed System", 1978), so that no machine's clock
 // counts.
 struct Version {
-  std::uint64_t count = 0;
+  std::uint64_t counter = 0;
   MemberId origin{};
   auto operator<=>(const Version&) const = default;
-  auto fields() { return std::tie(count, origin); }
+  auto fields() { return std::tie(counter, origin); }
 };
 
 template <typename Message>
-struct Send {
+struct OutgoingMessage {
   MemberId to{};
   Message message;
 };
 template <typename Message>
-using Sends = std::vector<Send<Message>>;
+using OutgoingMessages = std::vector<OutgoingMessage<Message>>;
 
 }  // namespace rockcrank::fleet
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -50,14 +50,16 @@
 constexpr double lost_asked = 2;     // pings a period and lost member, of all others together
 constexpr double again_about = 2;    // of those who know of a suspicion, each time
 constexpr double at_once_about = 4;  // members that ping at once what all have reason to ping
-constexpr double tokens_most = Membership::messages_a_second;
+constexpr double tokens_most = Membership::messages_per_second;
 
-bool is_bad(Condition condition) { return condition == Condition::suspect || condition == Condition::dead; }
+bool is_bad(MemberState condition) {
+  return condition == MemberState::suspect || condition == MemberState::dead;
+}
 
 struct Peer {
   MemberId id{};
   std::string name;
-  Condition condition = Condition::unknown;
+  MemberState condition = MemberState::unknown;
   Incarnation life;
   std::uint32_t refuted = 0;
   bool weak = false;     // a bad condition that only this member found, or has reason to doubt
@@ -69,7 +71,7 @@
   Millis heard = -never, suspected = 0, changed = 0, flapped = 0;
   Millis pinged = -never, asked_again = -never;
   Millis trip = -1, vary = 0;  // of its answers, smoothed as by TCP (RFC 6298)
-  Condition told_condition = Condition::unknown;
+  MemberState told_condition = MemberState::unknown;
   Incarnation told_life;
 };
 
@@ -104,7 +106,7 @@
     spread_ = 3 * static_cast<int>(std::ceil(std::log2(size_ + 1)));
   }
 
-  void begin(Millis now) override {
+  void begin_turn(Millis now) override {
     if (!begun_)
       begun_ = true, started_ = tokens_at_ = now, next_probe_ = now + share() * period,
       next_dead_ = now + share() * period;
@@ -112,64 +114,65 @@
     now_ = now;
     // Once: a host begins anew for each thing that it heard in the turn.
     if (late > late_least) due_ = never, catch_up(late);
-    tokens_ = std::min(tokens_most, tokens_ + (now - tokens_at_) * messages_a_second / 1000);
+    tokens_ = std::min(tokens_most, tokens_ + (now - tokens_at_) * messages_per_second / 1000);
     tokens_at_ = now;
   }
 
-  void heard(MemberId from, const MembershipMessage& message) override {
+  void on_message(MemberId from, const MembershipMessage& message) override {
     auto found = peers_.find(from);
     if (found == peers_.end()) return;
     auto& peer = found->second;
-    auto own = std::find_if(message.rumours.begin(), message.rumours.end(),
+    auto own = std::find_if(message.updates.begin(), message.updates.end(),
                             [&](const auto& rumour) { return rumour.member == from; });
-    if (own == message.rumours.end() || own->condition != Condition::alive) return;
-    bool was_lost = peer.condition == Condition::dead || peer.condition == Condition::unknown;
-    same_count(peer, own->life);
+    if (own == message.updates.end() || own->state != MemberState::alive) return;
+    bool was_lost = peer.condition == MemberState::dead || peer.condition == MemberState::unknown;
+    same_count(peer, own->incarnation);
     // A former self that still runs: it is told of its newer life, and nothing else is believed of it.
-    if (own->life < peer.life) {
-      if (message.beat != Beat::answer) owe(from, {Beat::answer, message.number, self_, {}}, false);
+    if (own->incarnation < peer.life) {
+      if (message.type != ProbeMessageType::ack)
+        owe(from, {ProbeMessageType::ack, message.sequence, self_, {}}, false);
       return;
     }
     peer.heard = heard_at_ = now_;
-    if (own->life > peer.life || own->refuted > peer.refuted) take(peer, *own);
+    if (own->incarnation > peer.life || own->refutations > peer.refuted) take(peer, *own);
     else if (peer.weak && is_bad(peer.condition)) revive(peer);
     bool given_up = false;
     auto refuted = own_refuted_;
-    for (const auto& rumour : message.rumours)
+    for (const auto& rumour : message.updates)
       if (rumour.member == self_) given_up = about_self(rumour) || given_up;
     // Told in an answer: it is refuted at once, not only with the next message that goes anyway.
-    if (refuted != own_refuted_ && message.beat == Beat::answer) peer.at_once = true;
-    bool believed = peer.condition != Condition::dead;
-    for (const auto& rumour : message.rumours) {
+    if (refuted != own_refuted_ && message.type == ProbeMessageType::ack) peer.at_once = true;
+    bool believed = peer.condition != MemberState::dead;
+    for (const auto& rumour : message.updates) {
       auto about = peers_.find(rumour.member);
-      if (about == peers_.end() || rumour.member == from || rumour.condition == Condition::unknown) continue;
-      if (believed || rumour.condition == Condition::alive) hear_of(about->second, rumour);
+      if (about == peers_.end() || rumour.member == from || rumour.state == MemberState::unknown) continue;
+      if (believed || rumour.state == MemberState::alive) hear_of(about->second, rumour);
     }
-    bool asks_all = message.beat == Beat::ask_for && message.subject == self_;
-    if (message.beat == Beat::ping || asks_all) {
+    bool asks_all = message.type == ProbeMessageType::ping_request && message.target == self_;
+    if (message.type == ProbeMessageType::ping || asks_all) {
       bool whole = (was_lost || given_up || asks_all) && now_ - table_at_ >= table_gap;
       if (whole) table_at_ = now_;
-      owe(from, {Beat::answer, message.number, self_, {}}, whole);
-    } else if (message.beat == Beat::ask_for) {
-      if (!peers_.count(message.subject) || passed_.size() >= static_cast<std::size_t>(passed_most)) return;
-      passed_[++number_] = {from, message.number, message.subject, now_ + passed_within};
-      owe(message.subject, {Beat::ping, number_, message.subject, {}}, false);
+      owe(from, {ProbeMessageType::ack, message.sequence, self_, {}}, whole);
+    } else if (message.type == ProbeMessageType::ping_request) {
+      if (!peers_.count(message.target) || passed_.size() >= static_cast<std::size_t>(passed_most)) return;
+      passed_[++number_] = {from, message.sequence, message.target, now_ + passed_within};
+      owe(message.target, {ProbeMessageType::ping, number_, message.target, {}}, false);
     } else {
       answered(peer, message);
     }
   }
 
-  void linked(MemberId member, Incarnation life, bool up) override {
+  void on_link_change(MemberId member, Incarnation life, bool up) override {
     auto found = peers_.find(member);
     if (found == peers_.end()) return;
     auto& peer = found->second;
     // A link that came up in a new life is an answer of that life. One that broke is no verdict, but a reason
     // to ask at once.
-    if (up && life > peer.life) take(peer, {member, life, Condition::alive, 0});
-    if (up ? peer.condition != Condition::alive : peer.condition == Condition::alive) hurry(peer);
+    if (up && life > peer.life) take(peer, {member, life, MemberState::alive, 0});
+    if (up ? peer.condition != MemberState::alive : peer.condition == MemberState::alive) hurry(peer);
   }
 
-  Decided decide() override {
+  Actions decide() override {
     bool fired = true;
     auto run = [&](auto& thing, const auto& rules) {
       for (const auto& rule : rules)
@@ -188,12 +191,12 @@
     return std::exchange(done_, {});
   }
 
-  Condition condition(MemberId member) const override {
-    if (member == self_) return Condition::alive;
+  MemberState state(MemberId member) const override {
+    if (member == self_) return MemberState::alive;
     auto found = peers_.find(member);
-    return found == peers_.end() ? Condition::unknown : found->second.condition;
+    return found == peers_.end() ? MemberState::unknown : found->second.condition;
   }
-  Incarnation life(MemberId member) const override {
+  Incarnation incarnation(MemberId member) const override {
     if (member == self_) return own_;
     auto found = peers_.find(member);
     return found == peers_.end() ? Incarnation{} : found->second.life;
@@ -208,7 +211,7 @@
 
  private:
   static bool is_live(const Peer& peer) {
-    return peer.condition == Condition::alive || peer.condition == Condition::suspect;
+    return peer.condition == MemberState::alive || peer.condition == MemberState::suspect;
   }
   // Guards against a wait for a part of a token that is too small to be waited for.
   bool may_send(double tokens) const { return tokens_ + 1e-6 >= tokens; }
@@ -248,25 +251,25 @@
   }
   void report_twin(MemberId member, const std::string& name, const Incarnation& life) {
     if (twins_.size() >= 256 || !twins_.insert({member, life}).second) return;
-    done_.twins.push_back({member, life, Condition::alive});
+    done_.duplicates.push_back({member, life, MemberState::alive});
     done_.log.push_back("two processes say they are " + name + ": as from a restored machine image");
   }
 
   // ---- rumours
 
-  void take(Peer& peer, const Rumour& rumour) {
-    bool same = rumour.life == peer.life;
-    if (same && peer.condition == Condition::dead && rumour.condition == Condition::alive && !peer.weak)
+  void take(Peer& peer, const MemberUpdate& rumour) {
+    bool same = rumour.incarnation == peer.life;
+    if (same && peer.condition == MemberState::dead && rumour.state == MemberState::alive && !peer.weak)
       peer.flaps = std::min(peer.flaps + 1, flaps_most), peer.flapped = now_, doubt_all();
     if (!same) peer.flaps = 0;
-    if (rumour.condition == Condition::suspect) peer.suspected = now_, hurry(peer, again_about);
-    peer.life = rumour.life, peer.refuted = rumour.refuted, peer.left = spread_;
-    set(peer, rumour.condition, false);
+    if (rumour.state == MemberState::suspect) peer.suspected = now_, hurry(peer, again_about);
+    peer.life = rumour.incarnation, peer.refuted = rumour.refutations, peer.left = spread_;
+    set(peer, rumour.state, false);
   }
-  void set(Peer& peer, Condition condition, bool weak) {
+  void set(Peer& peer, MemberState condition, bool weak) {
     if (peer.condition != condition || peer.weak != weak) peer.changed = now_;
-    peer.found = peer.found && condition == Condition::suspect;
-    if (condition == Condition::suspect && peer.condition != condition) peer.asks = 0;
+    peer.found = peer.found && condition == MemberState::suspect;
+    if (condition == MemberState::suspect && peer.condition != condition) peer.asks = 0;
     peer.condition = condition, peer.weak = weak;
   }
   // Whoever was given up on, or gave up on one that lives, was cut off or stood still: what it found out
@@ -275,50 +278,52 @@
     doubt_at_ = now_;
     for (auto& [id, peer] : peers_) set(peer, peer.condition, peer.weak || is_bad(peer.condition));
   }
-  void revive(Peer& peer) { set(peer, Condition::alive, false); }
+  void revive(Peer& peer) { set(peer, MemberState::alive, false); }
 
-  void hear_of(Peer& peer, const Rumour& rumour) {
-    same_count(peer, rumour.life);
-    if (rumour.life < peer.life) return;
-    bool newer = rumour.life > peer.life || rumour.refuted > peer.refuted;
-    if (!newer && rumour.refuted < peer.refuted) return;
+  void hear_of(Peer& peer, const MemberUpdate& rumour) {
+    same_count(peer, rumour.incarnation);
+    if (rumour.incarnation < peer.life) return;
+    bool newer = rumour.incarnation > peer.life || rumour.refutations > peer.refuted;
+    if (!newer && rumour.refutations < peer.refuted) return;
     // Guards against verdicts that go round among islands that find each other again: here they are
     // suspicions.
-    if (rumour.condition == Condition::dead && now_ - doubt_at_ < healing) {
-      if (newer) peer.life = rumour.life, peer.refuted = rumour.refuted;
-      if (peer.condition == Condition::dead || (peer.condition == Condition::suspect && !newer)) return;
+    if (rumour.state == MemberState::dead && now_ - doubt_at_ < healing) {
+      if (newer) peer.life = rumour.incarnation, peer.refuted = rumour.refutations;
+      if (peer.condition == MemberState::dead || (peer.condition == MemberState::suspect && !newer)) return;
       return suspect_weakly(peer);
     }
     if (newer) return take(peer, rumour);
-    if (rumour.condition == Condition::alive) {
+    if (rumour.state == MemberState::alive) {
       if (peer.weak && is_bad(peer.condition)) revive(peer);
-    } else if (rumour.condition > peer.condition || (peer.weak && rumour.condition == peer.condition)) {
+    } else if (rumour.state > peer.condition || (peer.weak && rumour.state == peer.condition)) {
       take(peer, rumour);
     }
   }
 
   // True: the others had given up on this life.
-  bool about_self(const Rumour& rumour) {
-    if (rumour.life > own_) report_twin(self_, "this member", rumour.life);
-    if (rumour.life != own_ || !is_bad(rumour.condition)) return false;
-    own_refuted_ = std::max(own_refuted_, rumour.refuted + 1);
+  bool about_self(const MemberUpdate& rumour) {
+    if (rumour.incarnation > own_) report_twin(self_, "this member", rumour.incarnation);
+    if (rumour.incarnation != own_ || !is_bad(rumour.state)) return false;
+    own_refuted_ = std::max(own_refuted_, rumour.refutations + 1);
     // A suspicion that was refuted may have become a verdict elsewhere before that was known.
-    if (rumour.condition != Condition::dead || rumour.refuted < given_up_below_) return false;
-    given_up_below_ = rumour.refuted + 1;
+    if (rumour.state != MemberState::dead || rumour.refutations < given_up_below_) return false;
+    given_up_below_ = rumour.refutations + 1;
     doubt_all();
     next_dead_ = std::min(next_dead_, now_ + share() * period / 4);
-    if (!done_.given_up_on) done_.log.push_back("was held to be dead by others; it is not, and says so");
-    return done_.given_up_on = true;
+    if (!done_.declared_dead) done_.log.push_back("was held to be dead by others; it is not, and says so");
+    return done_.declared_dead = true;
   }
 
-  std::vector<Rumour> rumours_for(MemberId to, bool whole) {
-    std::vector<Rumour> chosen{{self_, own_, Condition::alive, own_refuted_}};
-    auto rumour = [](const Peer& peer) { return Rumour{peer.id, peer.life, peer.condition, peer.refuted}; };
+  std::vector<MemberUpdate> rumours_for(MemberId to, bool whole) {
+    std::vector<MemberUpdate> chosen{{self_, own_, MemberState::alive, own_refuted_}};
+    auto rumour = [](const Peer& peer) {
+      return MemberUpdate{peer.id, peer.life, peer.condition, peer.refuted};
+    };
     auto& receiver = peers_.at(to);
     if (is_bad(receiver.condition)) chosen.push_back(rumour(receiver));
     std::vector<Peer*> fresh;
     for (auto& [id, peer] : peers_)
-      if (id != to && !peer.weak && peer.condition != Condition::unknown && (whole || peer.left > 0))
+      if (id != to && !peer.weak && peer.condition != MemberState::unknown && (whole || peer.left > 0))
         fresh.push_back(&peer);
     // Those passed on least first.
     std::stable_sort(fresh.begin(), fresh.end(),
@@ -335,7 +340,7 @@
 
   void send(MemberId to, MembershipMessage message, bool whole = false) {
     --tokens_;
-    message.rumours = rumours_for(to, whole);
+    message.updates = rumours_for(to, whole);
     done_.sends.push_back({to, std::move(message)});
   }
   void owe(MemberId to, MembershipMessage message, bool whole) {
@@ -345,20 +350,20 @@
 
   void answered(Peer& from, const MembershipMessage& message) {
     // Answers speak for one member: the sender itself, or whom it was asked to ping.
-    if (auto passed = passed_.find(message.number);
+    if (auto passed = passed_.find(message.sequence);
         passed != passed_.end() && passed->second.subject == from.id) {
-      owe(passed->second.asker, {Beat::answer, passed->second.number, from.id, {}}, false);
+      owe(passed->second.asker, {ProbeMessageType::ack, passed->second.number, from.id, {}}, false);
       passed_.erase(passed);
       return;
     }
-    auto found = probes_.find(message.number);
-    if (found == probes_.end() || found->second.over || found->second.target->id != message.subject) return;
+    auto found = probes_.find(message.sequence);
+    if (found == probes_.end() || found->second.over || found->second.target->id != message.target) return;
     auto& probe = found->second;
     auto& target = *probe.target;
     answered_at_ = now_, probe.over = true;
     health_ = std::clamp(health_ + (probe.asked ? 1 : -1), 0, health_most);
     if (target.weak && is_bad(target.condition)) revive(target);
-    if (message.subject != from.id || probe.again) return;  // else it is not known which ping this answers
+    if (message.target != from.id || probe.again) return;  // else it is not known which ping this answers
     auto trip = now_ - probe.sent;
     if (target.trip < 0) target.trip = trip, target.vary = trip / 2;
     else
@@ -375,15 +380,15 @@
                           now_ + within,
                           now_ + 2 * within,
                           now_ + 2 * within + std::max(others_floor, 3 * within),
-                          peer.condition == Condition::alive ||
-                              (peer.condition == Condition::dead && peer.weak && peer.life.number != 0)};
+                          peer.condition == MemberState::alive ||
+                              (peer.condition == MemberState::dead && peer.weak && peer.life.number != 0)};
     bool asks_all =
         std::any_of(peers_.begin(), peers_.end(), [&](const auto& e) { return doubted(e.second); });
-    send(peer.id, {asks_all ? Beat::ask_for : Beat::ping, number_, peer.id, {}});
+    send(peer.id, {asks_all ? ProbeMessageType::ping_request : ProbeMessageType::ping, number_, peer.id, {}});
   }
 
   bool doubted(const Peer& peer) const {
-    return (peer.weak || peer.condition == Condition::unknown) &&
+    return (peer.weak || peer.condition == MemberState::unknown) &&
            now_ - std::max(peer.changed, started_) < doubted_for;
   }
 
@@ -441,7 +446,7 @@
   bool slow(Probe& probe) { return probe.counts && !probe.again && now_ >= probe.again_at; }
   void ping_again(Probe& probe) {
     probe.again = true;
-    if (may_send(2)) send(probe.target->id, {Beat::ping, number_of(probe), probe.target->id, {}});
+    if (may_send(2)) send(probe.target->id, {ProbeMessageType::ping, number_of(probe), probe.target->id, {}});
   }
   bool unanswered(Probe& probe) { return probe.counts && !probe.asked && now_ >= probe.others_at; }
   void ask_others(Probe& probe) {
@@ -449,24 +454,24 @@
     auto number = number_of(probe);
     std::vector<Peer*> able;
     for (auto& [id, peer] : peers_)
-      if (peer.condition == Condition::alive && &peer != probe.target) able.push_back(&peer);
+      if (peer.condition == MemberState::alive && &peer != probe.target) able.push_back(&peer);
     std::shuffle(able.begin(), able.end(), chance_);
     for (std::size_t i = 0; i < able.size() && i < static_cast<std::size_t>(asked_most) && may_send(1); ++i)
-      send(able[i]->id, {Beat::ask_for, number, probe.target->id, {}});
+      send(able[i]->id, {ProbeMessageType::ping_request, number, probe.target->id, {}});
   }
 
   bool failed(Probe& probe) { return now_ >= probe.fails_at; }
   void suspect(Probe& probe) {
     auto& peer = *probe.target;
-    if (probe.counts && peer.condition == Condition::dead && peer.weak && connected())
-      peer.left = spread_, set(peer, Condition::dead, false);
-    bool accuses = probe.counts && peer.condition == Condition::alive;
+    if (probe.counts && peer.condition == MemberState::dead && peer.weak && connected())
+      peer.left = spread_, set(peer, MemberState::dead, false);
+    bool accuses = probe.counts && peer.condition == MemberState::alive;
     probe.over = !accuses || !unheard() || now_ - probe.sent > connected_within;
     if (accuses && unheard()) return probe.fails_at = now_ + others_floor, ask_if_heard();
     if (!accuses) return;
     peer.suspected = now_, peer.left = spread_, peer.at_once = true;
     peer.found = true;
-    set(peer, Condition::suspect, !connected());
+    set(peer, MemberState::suspect, !connected());
   }
 
   // Guards against a member that is heard by none and would hold all others to be dead: before a verdict, one
@@ -483,7 +488,7 @@
   // ---- rules of another member
 
   bool suspected_for_long(Peer& peer) {
-    return peer.condition == Condition::suspect && now_ >= peer.suspected + suspicion(peer);
+    return peer.condition == MemberState::suspect && now_ >= peer.suspected + suspicion(peer);
   }
   void give_up_on(Peer& peer) {
     if (unheard()) return peer.suspected = now_ + others_floor - suspicion(peer), ask_if_heard();
@@ -492,26 +497,26 @@
     if (!alone() && peer.asks < (peer.found ? asks_least : 1))
       return peer.suspected += ask_again, void(peer.at_once = true);
     peer.left = spread_;
-    set(peer, Condition::dead, peer.weak || !connected());
+    set(peer, MemberState::dead, peer.weak || !connected());
   }
 
   // One that never was there since this process started; that is for this member to know only.
   bool never_seen(Peer& peer) {
-    return peer.condition == Condition::unknown && now_ - started_ >= 2 * suspicion(peer) + period &&
+    return peer.condition == MemberState::unknown && now_ - started_ >= 2 * suspicion(peer) + period &&
            !unheard();
   }
-  void assume_dead(Peer& peer) { set(peer, Condition::dead, true); }
+  void assume_dead(Peer& peer) { set(peer, MemberState::dead, true); }
 
   // Alone, as far as it can tell: no use in asking one after the other.
-  bool lost_with_all(Peer& peer) { return peer.condition == Condition::alive && alone(); }
+  bool lost_with_all(Peer& peer) { return peer.condition == MemberState::alive && alone(); }
   void suspect_weakly(Peer& peer) {
     peer.suspected = now_;
-    set(peer, Condition::suspect, true);
+    set(peer, MemberState::suspect, true);
   }
 
   // Guards against a verdict on one that hears little: it is told more than once that it has to refute.
   bool suspect_silent(Peer& peer) {
-    return peer.condition == Condition::suspect && !peer.at_once &&
+    return peer.condition == MemberState::suspect && !peer.at_once &&
            now_ >= std::max(peer.pinged, peer.asked_again) + ask_again;
   }
   void ask_suspect(Peer& peer) {
@@ -526,8 +531,8 @@
 
   void tell(Peer& peer) {
     if (peer.condition == peer.told_condition && peer.life == peer.told_life) return;
-    if (peer.condition == Condition::dead) done_.log.push_back(peer.name + " is dead");
-    else if (peer.told_condition == Condition::dead) done_.log.push_back(peer.name + " is back");
+    if (peer.condition == MemberState::dead) done_.log.push_back(peer.name + " is dead");
+    else if (peer.told_condition == MemberState::dead) done_.log.push_back(peer.name + " is back");
     peer.told_condition = peer.condition, peer.told_life = peer.life;
     done_.changes.push_back({peer.id, peer.life, peer.condition});
   }
@@ -536,7 +541,7 @@
     Millis due = never;
     auto wake_at = [&](Millis when) { due = std::min(due, std::max(when, now_)); };
     auto with = [&](double tokens) {  // when there are so many
-      return now_ + std::max(0.0, tokens - tokens_) * 1000 / messages_a_second;
+      return now_ + std::max(0.0, tokens - tokens_) * 1000 / messages_per_second;
     };
     if (!owed_.empty()) wake_at(with(1));
     wake_at(std::max(next_probe_, with(2))), wake_at(std::max(next_dead_, with(2)));
@@ -544,7 +549,7 @@
       wake_at(!probe.counts || probe.asked ? probe.fails_at : probe.again ? probe.others_at : probe.again_at);
     for (const auto& [id, peer] : peers_) {
       if (peer.at_once) wake_at(with(2));
-      if (peer.condition != Condition::suspect) continue;
+      if (peer.condition != MemberState::suspect) continue;
       wake_at(peer.suspected + suspicion(peer));
       if (!peer.at_once) wake_at(std::max(peer.pinged, peer.asked_again) + ask_again);
     }
@@ -586,7 +591,7 @@
   std::deque<Owed> owed_;
   std::vector<MemberId> order_;  // of this round, from the back
   std::set<std::pair<MemberId, Incarnation>> twins_;
-  Decided done_;
+  Actions done_;
 };
 
 }  // namespace
--- a/src/fleet/membership.h
+++ b/src/fleet/membership.h
@@ -17,42 +17,43 @@
 
 // What one member says of another: newer lives go over older ones, in one life worse conditions over better.
 // A life is raised by its own member alone, to refute a suspicion.
-struct Rumour {
+struct MemberUpdate {
   MemberId member{};
-  Incarnation life;
-  Condition condition{};
-  std::uint32_t refuted = 0;  // how often this life has refuted; goes over condition
-  auto fields() { return std::tie(member, life, condition, refuted); }
+  Incarnation incarnation;
+  MemberState state{};
+  std::uint32_t refutations = 0;  // how often this life has refuted; goes over condition
+  auto fields() { return std::tie(member, incarnation, state, refutations); }
 };
 
 // ask_for: have `subject` pinged, and answer for it; where that is the receiver, with all that it knows.
-enum class Beat : std::uint8_t { ping, answer, ask_for };
+enum class ProbeMessageType : std::uint8_t { ping, ack, ping_request };
 
 struct MembershipMessage {
-  Beat beat{};
-  std::uint64_t number = 0;  // of the ping; its answer gives it back
-  MemberId subject{};        // whom the answer speaks for; ask_for: whom to ping
-  std::vector<Rumour> rumours;
-  auto fields() { return std::tie(beat, number, subject, rumours); }
+  ProbeMessageType type{};
+  std::uint64_t sequence = 0;  // of the ping; its answer gives it back
+  MemberId target{};           // whom the answer speaks for; ask_for: whom to ping
+  std::vector<MemberUpdate> updates;
+  auto fields() { return std::tie(type, sequence, target, updates); }
 };
 
 class Membership {
  public:
-  static constexpr double messages_a_second = 5;  // of one member, whatever the size and whatever fails
+  static constexpr double messages_per_second = 5;  // of one member, whatever the size and whatever fails
 
   struct Change {
     MemberId member{};
-    Incarnation life;
-    Condition condition{};
+    Incarnation incarnation;
+    MemberState state{};
   };
-  struct Decided {
-    Sends<MembershipMessage> sends;  // messages_a_second on average at most, and as many again in a burst
+  struct Actions {
+    OutgoingMessages<MembershipMessage>
+        sends;  // messages_a_second on average at most, and as many again in a burst
     std::vector<Change> changes;
     // Another life of a member that cannot be its former self: one of this very member that is newer than
     // this one, or one that counts alike with a life known (two processes, or a restored machine image). Once
     // each.
-    std::vector<Change> twins;
-    bool given_up_on = false;  // others held this life to be dead, as after a stall; it has refuted that
+    std::vector<Change> duplicates;
+    bool declared_dead = false;  // others held this life to be dead, as after a stall; it has refuted that
     std::vector<std::string> log;
     Millis wake_in = -1;
   };
@@ -60,14 +61,14 @@
                                           std::uint64_t seed);
   virtual ~Membership() = default;
 
-  virtual void begin(Millis now) = 0;
-  virtual void heard(MemberId from, const MembershipMessage& message) = 0;
-  virtual void linked(MemberId peer, Incarnation life,
-                      bool up) = 0;  // the link's own sight; no verdict by itself
-  virtual Decided decide() = 0;
+  virtual void begin_turn(Millis now) = 0;
+  virtual void on_message(MemberId from, const MembershipMessage& message) = 0;
+  virtual void on_link_change(MemberId peer, Incarnation life,
+                              bool up) = 0;  // the link's own sight; no verdict by itself
+  virtual Actions decide() = 0;
 
-  virtual Condition condition(MemberId member) const = 0;
-  virtual Incarnation life(MemberId member) const = 0;
+  virtual MemberState state(MemberId member) const = 0;
+  virtual Incarnation incarnation(MemberId member) const = 0;
   virtual std::vector<MemberId> alive() const = 0;  // suspects too; ordered by id, this one included
 };
 
--- a/src/fleet/register_table.cpp
+++ b/src/fleet/register_table.cpp
@@ -27,32 +27,33 @@
 constexpr std::size_t aside_most = 64, aside_each = 4, differing_most = 64;
 constexpr int kept_bits = 12;  // of the hash, of the ranges whose sums are kept
 
-double careful(const Word& word) {
-  switch (word.matter) {
-    case Matter::wait: return word.span;
-    case Matter::outage:
-      return word.state == RouteState::down ? 2 : word.state == RouteState::returning ? 1 : 0;
-    case Matter::limit: return -word.limit;
-    case Matter::out: return word.out;
+double careful(const RegisterRecord& word) {
+  switch (word.kind) {
+    case RegisterKind::retry_after: return word.duration;
+    case RegisterKind::outage:
+      return word.state == RouteState::down ? 2 : word.state == RouteState::recovering ? 1 : 0;
+    case RegisterKind::rate_limit: return -word.rate_limit;
+    case RegisterKind::offline: return word.offline;
   }
   return 0;
 }
 
 // All of a word but its age. Newer versions first; at an equal count the more careful word; the rest only so
 // that the order is total.
-auto order_of(const Word& word) {
-  return std::make_tuple(word.version.count, careful(word), word.version.origin, word.span, word.state,
-                         word.rate_before, word.limit, word.left_share, word.out, word.life);
+auto order_of(const RegisterRecord& word) {
+  return std::make_tuple(word.version.counter, careful(word), word.version.origin, word.duration, word.state,
+                         word.rate_before_outage, word.rate_limit, word.remaining_share, word.offline,
+                         word.incarnation);
 }
 
-std::uint64_t sum_of(const Word& word) {
-  std::string bytes = word.subject;
+std::uint64_t sum_of(const RegisterRecord& word) {
+  std::string bytes = word.name;
   auto add = [&](const auto& value) { bytes.append(reinterpret_cast<const char*>(&value), sizeof value); };
   // Zero has two forms that are equal.
-  for (double value : {word.span, word.rate_before, word.limit, word.left_share})
+  for (double value : {word.duration, word.rate_before_outage, word.rate_limit, word.remaining_share})
     add(value == 0 ? 0.0 : value);
-  add(word.matter), add(word.version.count), add(word.version.origin), add(word.life.number);
-  add(word.life.nonce), add(word.state), add(word.out);
+  add(word.kind), add(word.version.counter), add(word.version.origin), add(word.incarnation.number);
+  add(word.incarnation.nonce), add(word.state), add(word.offline);
   return XXH3_64bits(bytes.data(), bytes.size());
 }
 
@@ -60,56 +61,59 @@
 
 }  // namespace
 
-std::uint64_t subject_hash(const std::string& subject) { return XXH3_64bits(subject.data(), subject.size()); }
+std::uint64_t name_hash(const std::string& subject) { return XXH3_64bits(subject.data(), subject.size()); }
 
-EntryKey key_of(const Word& word) {
-  bool each = word.matter == Matter::wait;
-  return {word.matter, subject_hash(word.subject), word.subject, each ? word.version.origin : MemberId{},
-          each ? word.life : Incarnation{}};
+EntryKey key_of(const RegisterRecord& word) {
+  bool each = word.kind == RegisterKind::retry_after;
+  return {word.kind, name_hash(word.name), word.name, each ? word.version.origin : MemberId{},
+          each ? word.incarnation : Incarnation{}};
 }
 
-int rank_of(Matter matter) {
-  return static_cast<int>(std::find(std::begin(by_rank), std::end(by_rank), matter) - std::begin(by_rank));
+int priority_of(RegisterKind matter) {
+  return static_cast<int>(std::find(std::begin(kinds_by_priority), std::end(kinds_by_priority), matter) -
+                          std::begin(kinds_by_priority));
 }
 
-bool goes_over(const Word& word, const Word& other) { return order_of(word) > order_of(other); }
+bool supersedes(const RegisterRecord& word, const RegisterRecord& other) {
+  return order_of(word) > order_of(other);
+}
 
-Millis life_of(const Word& word) {
-  switch (word.matter) {
-    case Matter::wait: return word.span + wait_rest;
-    case Matter::outage: return outage_life;
-    case Matter::limit: return limit_life;
-    case Matter::out: return word.out ? forever : put_back_life;
+Millis retention_of(const RegisterRecord& word) {
+  switch (word.kind) {
+    case RegisterKind::retry_after: return word.duration + wait_rest;
+    case RegisterKind::outage: return outage_life;
+    case RegisterKind::rate_limit: return limit_life;
+    case RegisterKind::offline: return word.offline ? forever : put_back_life;
   }
   return 0;
 }
 
-RegisterTable::Merged RegisterTable::merge(const Word& word, Millis said_at, Millis now) {
-  if (now - said_at >= life_of(word)) return Merged::dead;
+RegisterTable::MergeResult RegisterTable::merge(const RegisterRecord& word, Millis said_at, Millis now) {
+  if (now - said_at >= retention_of(word)) return MergeResult::outdated;
   auto key = key_of(word);
   auto found = entries_.find(key);
-  if (found == entries_.end() && !make_room()) return Merged::full;
+  if (found == entries_.end() && !make_room()) return MergeResult::full;
   if (found != entries_.end()) {
     Entry& held = found->second;
-    bool over = goes_over(word, held.word), same = !over && !goes_over(held.word, word);
+    bool over = supersedes(word, held.record), same = !over && !supersedes(held.record, word);
     // Guards against two processes that count alike, as after a restored machine image: both words are kept.
-    if (!same && word.version == held.word.version) keep_aside(key, over ? held.word : word);
-    if (same && said_at >= held.said_at) return Merged::known;
-    if (!same && !over) return Merged::older;
+    if (!same && word.version == held.record.version) keep_aside(key, over ? held.record : word);
+    if (same && said_at >= held.written_at) return MergeResult::duplicate;
+    if (!same && !over) return MergeResult::stale;
     count(key, held, false);
-    dues_.erase(held.due);
-    held.word = word, held.said_at = said_at, held.sum = sum_of(word);
-    held.due = dues_.emplace(said_at + life_of(word), key);
+    dues_.erase(held.removal);
+    held.record = word, held.written_at = said_at, held.sum = sum_of(word);
+    held.removal = dues_.emplace(said_at + retention_of(word), key);
     count(key, held, true);
-    return same ? Merged::nearer : Merged::news;
+    return same ? MergeResult::earlier : MergeResult::applied;
   }
-  Entry entry{word, said_at, sum_of(word), dues_.emplace(said_at + life_of(word), key)};
+  Entry entry{word, said_at, sum_of(word), dues_.emplace(said_at + retention_of(word), key)};
   count(key, entry, true);
   entries_.emplace(std::move(key), std::move(entry));
-  return Merged::news;
+  return MergeResult::applied;
 }
 
-void RegisterTable::forget(Millis now) {
+void RegisterTable::remove_outdated(Millis now) {
   while (!dues_.empty() && dues_.begin()->first <= now) {
     auto found = entries_.find(dues_.begin()->second);
     count(found->first, found->second, false);
@@ -123,13 +127,15 @@
 // staff.
 bool RegisterTable::make_room() {
   if (entries_.size() < entries_most) return true;
-  if (dues_.begin()->second.matter == Matter::out) return false;
-  forget(dues_.begin()->first);
+  if (dues_.begin()->second.kind == RegisterKind::offline) return false;
+  remove_outdated(dues_.begin()->first);
   return true;
 }
 
-void RegisterTable::keep_aside(const EntryKey& key, const Word& word) {
-  auto alike = [&](const Word& other) { return !goes_over(word, other) && !goes_over(other, word); };
+void RegisterTable::keep_aside(const EntryKey& key, const RegisterRecord& word) {
+  auto alike = [&](const RegisterRecord& other) {
+    return !supersedes(word, other) && !supersedes(other, word);
+  };
   auto found = aside_.find(key);
   if (found != aside_.end() && std::any_of(found->second.begin(), found->second.end(), alike)) return;
   if (differing_.size() < differing_most) differing_.push_back({key, word.version});
@@ -140,7 +146,7 @@
 }
 
 void RegisterTable::count(const EntryKey& key, const Entry& entry, bool in) {
-  auto& sums = sums_[static_cast<int>(key.matter)];
+  auto& sums = sums_[static_cast<int>(key.kind)];
   if (sums.empty()) sums.resize(std::size_t{1} << kept_bits);
   auto& sum = sums[first_bits(key.hash, kept_bits)];
   if (in) sum.sum += entry.sum, ++sum.entries;
@@ -152,61 +158,62 @@
   return found == entries_.end() ? nullptr : &found->second;
 }
 
-Millis RegisterTable::wait_end(const std::string& subject) const {
+Millis RegisterTable::retry_after_end(const std::string& subject) const {
   Millis end = -1;
-  auto hash = subject_hash(subject);
-  for (auto at = entries_.lower_bound({Matter::wait, hash, subject, MemberId{}, {}});
-       at != entries_.end() && at->first.matter == Matter::wait && at->first.subject == subject; ++at)
-    end = std::max(end, at->second.said_at + at->second.word.span);
+  auto hash = name_hash(subject);
+  for (auto at = entries_.lower_bound({RegisterKind::retry_after, hash, subject, MemberId{}, {}});
+       at != entries_.end() && at->first.kind == RegisterKind::retry_after && at->first.name == subject; ++at)
+    end = std::max(end, at->second.written_at + at->second.record.duration);
   return end;
 }
 
-RangeDigest RegisterTable::digest(Matter matter, std::uint64_t prefix, int bits) const {
+RangeDigest RegisterTable::digest(RegisterKind matter, std::uint64_t prefix, int bits) const {
   RangeDigest range{matter, prefix, static_cast<std::uint8_t>(bits), 0, 0};
   if (bits > kept_bits) {
-    for (auto at = first(range); within(range, at); ++at) range.sum += at->second.sum, ++range.entries;
+    for (auto at = range_begin(range); in_range(range, at); ++at)
+      range.sum += at->second.sum, ++range.entry_count;
     return range;
   }
   const auto& sums = sums_[static_cast<int>(matter)];
   if (sums.empty()) return range;
   int below = kept_bits - bits;
   for (auto at = prefix << below; at < (prefix + 1) << below; ++at)
-    range.sum += sums[at].sum, range.entries += sums[at].entries;
+    range.sum += sums[at].sum, range.entry_count += sums[at].entries;
   return range;
 }
 
 int RegisterTable::split_bits(const RangeDigest& range) { return range.bits < kept_bits ? 4 : 2; }
 
-std::uint32_t RegisterTable::half(const RangeDigest& range) {
-  return range.entries == 0 ? 0 : std::max(1u, static_cast<std::uint32_t>(range.sum));
+std::uint32_t RegisterTable::half_sum(const RangeDigest& range) {
+  return range.entry_count == 0 ? 0 : std::max(1u, static_cast<std::uint32_t>(range.sum));
 }
 
 RangeSplit RegisterTable::split(const RangeDigest& range) const {
-  RangeSplit split{range.matter, range.prefix, range.bits, {}};
+  RangeSplit split{range.kind, range.prefix, range.bits, {}};
   int by = split_bits(range);
   for (std::uint64_t i = 0; i < std::uint64_t{1} << by; ++i)
-    split.parts.push_back(half(digest(range.matter, range.prefix << by | i, range.bits + by)));
+    split.child_sums.push_back(half_sum(digest(range.kind, range.prefix << by | i, range.bits + by)));
   return split;
 }
 
-std::vector<Head> RegisterTable::heads(const RangeDigest& range) const {
-  std::vector<Head> heads;
-  for (auto at = first(range); within(range, at); ++at) {
+std::vector<NameDigest> RegisterTable::names(const RangeDigest& range) const {
+  std::vector<NameDigest> heads;
+  for (auto at = range_begin(range); in_range(range, at); ++at) {
     if (heads.empty() || heads.back().hash != at->first.hash) heads.push_back({at->first.hash, 0, 0});
     auto& head = heads.back();
     head.sum += static_cast<std::uint32_t>(at->second.sum);
-    head.count = std::max(head.count, at->second.word.version.count);
+    head.counter = std::max(head.counter, at->second.record.version.counter);
   }
   return heads;
 }
 
-RegisterTable::Entries::const_iterator RegisterTable::first(const RangeDigest& range) const {
+RegisterTable::Entries::const_iterator RegisterTable::range_begin(const RangeDigest& range) const {
   return entries_.lower_bound(
-      {range.matter, range.bits == 0 ? 0 : range.prefix << (64 - range.bits), std::string(), MemberId{}, {}});
+      {range.kind, range.bits == 0 ? 0 : range.prefix << (64 - range.bits), std::string(), MemberId{}, {}});
 }
 
-bool RegisterTable::within(const RangeDigest& range, Entries::const_iterator at) const {
-  return at != entries_.end() && at->first.matter == range.matter &&
+bool RegisterTable::in_range(const RangeDigest& range, Entries::const_iterator at) const {
+  return at != entries_.end() && at->first.kind == range.kind &&
          first_bits(at->first.hash, range.bits) == range.prefix;
 }
 
--- a/src/fleet/register_table.h
+++ b/src/fleet/register_table.h
@@ -12,82 +12,83 @@
 
 namespace rockcrank::fleet {
 
-std::uint64_t subject_hash(const std::string& subject);
+std::uint64_t name_hash(const std::string& subject);
 
 // Waits are kept for each life of each origin, as the later end over all of them counts: one life says a wait
 // again only where it ends later, but one that starts anew may know less. Of the rest there is one entry.
 struct EntryKey {
-  Matter matter{};
+  RegisterKind kind{};
   std::uint64_t hash = 0;
-  std::string subject;
+  std::string name;
   MemberId origin{};
-  Incarnation life;
+  Incarnation incarnation;
   auto operator<=>(const EntryKey&) const = default;
 };
-EntryKey key_of(const Word& word);
+EntryKey key_of(const RegisterRecord& word);
 // In what order things are told: waits, outages and endpoints out, limits.
-int rank_of(Matter matter);
-constexpr Matter by_rank[] = {Matter::wait, Matter::outage, Matter::out, Matter::limit};
+int priority_of(RegisterKind matter);
+constexpr RegisterKind kinds_by_priority[] = {RegisterKind::retry_after, RegisterKind::outage,
+                                              RegisterKind::offline, RegisterKind::rate_limit};
 // Which of two words on one entry is kept, whatever their age: alike everywhere, as it is a total order.
-bool goes_over(const Word& word, const Word& other);
+bool supersedes(const RegisterRecord& word, const RegisterRecord& other);
 // How long after it was said a word counts; by then every copy of what it went over is forgotten too.
-Millis life_of(const Word& word);
+Millis retention_of(const RegisterRecord& word);
 
 struct Entry {
-  Word word;           // its age is not brought up to date here
-  Millis said_at = 0;  // on this member's clock, as the earliest copy heard has it
+  RegisterRecord record;  // its age is not brought up to date here
+  Millis written_at = 0;  // on this member's clock, as the earliest copy heard has it
   std::uint64_t sum = 0;
-  std::multimap<Millis, EntryKey>::iterator due;
+  std::multimap<Millis, EntryKey>::iterator removal;
 };
 
 class RegisterTable {
  public:
-  enum class Merged {
-    news,    // it is kept now
-    nearer,  // the same word, said earlier than was thought: a wait ends sooner
-    known,
-    older,
-    dead,  // too old to count
+  enum class MergeResult {
+    applied,  // it is kept now
+    earlier,  // the same word, said earlier than was thought: a wait ends sooner
+    duplicate,
+    stale,
+    outdated,  // too old to count
     full
   };
-  struct Differing {
+  struct Conflict {
     EntryKey key;
     Version version;
   };
   using Entries = std::map<EntryKey, Entry>;
 
-  Merged merge(const Word& word, Millis said_at, Millis now);
-  void forget(Millis now);  // what no longer counts
+  MergeResult merge(const RegisterRecord& word, Millis said_at, Millis now);
+  void remove_outdated(Millis now);  // what no longer counts
 
   const Entries& entries() const { return entries_; }
   const Entry* find(const EntryKey& key) const;
-  Millis wait_end(const std::string& subject) const;  // the latest of all origins; below 0: none
-  RangeDigest digest(Matter matter, std::uint64_t prefix, int bits) const;
+  Millis retry_after_end(const std::string& subject) const;  // the latest of all origins; below 0: none
+  RangeDigest digest(RegisterKind matter, std::uint64_t prefix, int bits) const;
   // How many bits further a range is split: by 16 where the sums are kept, then by 4, as an entry that
   // differs costs the digests beside it at every step.
-  static std::uint32_t half(const RangeDigest& range);
+  static std::uint32_t half_sum(const RangeDigest& range);
   static int split_bits(const RangeDigest& range);
   RangeSplit split(const RangeDigest& range) const;
-  std::vector<Head> heads(const RangeDigest& range) const;
-  Entries::const_iterator first(const RangeDigest& range) const;
-  bool within(const RangeDigest& range, Entries::const_iterator at) const;
+  std::vector<NameDigest> names(const RangeDigest& range) const;
+  Entries::const_iterator range_begin(const RangeDigest& range) const;
+  bool in_range(const RangeDigest& range, Entries::const_iterator at) const;
 
-  std::vector<Differing> take_differing() { return std::exchange(differing_, {}); }
-  const std::map<EntryKey, std::vector<Word>>& aside() const { return aside_; }
+  std::vector<Conflict> take_conflicts() { return std::exchange(differing_, {}); }
+  const std::map<EntryKey, std::vector<RegisterRecord>>& conflicting_records() const { return aside_; }
 
  private:
   struct Sum {
     std::uint64_t sum = 0, entries = 0;
   };
   void count(const EntryKey& key, const Entry& entry, bool in);
-  void keep_aside(const EntryKey& key, const Word& word);
+  void keep_aside(const EntryKey& key, const RegisterRecord& word);
   bool make_room();
 
   Entries entries_;
   std::multimap<Millis, EntryKey> dues_;
   std::vector<Sum> sums_[4];  // by matter and the first bits of the hash
-  std::map<EntryKey, std::vector<Word>> aside_;
-  std::vector<Differing> differing_;
+  std::map<EntryKey, std::vector<RegisterRecord>> aside_;
+  std::vector<Conflict> differing_;
 };
 
 }  // namespace rockcrank::fleet
