--- a/src/fleet/registers.cpp
+++ b/src/fleet/registers.cpp
@@ -71,13 +71,13 @@
 constexpr double figure_most = 1e12;
 constexpr std::size_t named_most = 1024;
 
-std::size_t size_of(const Word& word) { return 96 + word.subject.size(); }  // at most, packed
+std::size_t size_of(const RegisterRecord& word) { return 96 + word.name.size(); }  // at most, packed
 constexpr std::size_t digest_size = 26, part_size = 5, head_size = 26;
 constexpr std::size_t feeding = 64;  // fresh words in one message: a whole range is being sent
 
-std::string subject_of(const Knowledge& known) {
+std::string subject_of(const RouteStatus& known) {
   char text[24];
-  std::snprintf(text, sizeof text, "%c%016llx", known.apart ? 'e' : 'd',
+  std::snprintf(text, sizeof text, "%c%016llx", known.per_endpoint ? 'e' : 'd',
                 static_cast<unsigned long long>(known.route));
   return text;
 }
@@ -93,24 +93,24 @@
                      "have all members run versions that know each other");
 }
 
-void check(const Word& word) {
+void check(const RegisterRecord& word) {
   auto within = [](double value, double most) { return value >= 0 && value <= most; };  // no NaN either
-  check(word.matter <= Matter::out, "an unknown matter");
-  check(word.state <= RouteState::returning, "an unknown state");
-  check(word.version.count <= count_most, "a count that nobody can have reached");
-  check(within(word.age, unheard) && within(word.span, span_most), "a time out of range");
-  check(within(word.rate_before, figure_most) && within(word.limit, figure_most) &&
-            within(word.left_share, figure_most),
+  check(word.kind <= RegisterKind::offline, "an unknown matter");
+  check(word.state <= RouteState::recovering, "an unknown state");
+  check(word.version.counter <= count_most, "a count that nobody can have reached");
+  check(within(word.age, unheard) && within(word.duration, span_most), "a time out of range");
+  check(within(word.rate_before_outage, figure_most) && within(word.rate_limit, figure_most) &&
+            within(word.remaining_share, figure_most),
         "a figure out of range");
-  check(word.matter == Matter::out ? std::all_of(word.subject.begin(), word.subject.end(),
-                                                 [](char c) { return c > ' ' && c < 127; }) &&
-                                         !word.subject.empty() && word.subject.size() <= subject_most
-                                   : names_route(word.subject),
+  check(word.kind == RegisterKind::offline
+            ? std::all_of(word.name.begin(), word.name.end(), [](char c) { return c > ' ' && c < 127; }) &&
+                  !word.name.empty() && word.name.size() <= subject_most
+            : names_route(word.name),
         "a subject that names nothing");
 }
 
 void check(const RangeDigest& range) {
-  check(range.matter <= Matter::out, "an unknown matter");
+  check(range.kind <= RegisterKind::offline, "an unknown matter");
   check(range.bits <= 64 && (range.bits == 64 || range.prefix >> range.bits == 0), "a range that is none");
 }
 
@@ -124,19 +124,19 @@
     if (members < 2) caught_up_ = true;
   }
 
-  void begin(Millis now) override {
+  void begin_turn(Millis now) override {
     if (first_) earned_at_ = began_at_ = compare_at_ = now;
     first_ = false;
     if (due_at_ >= 0 && now > due_at_ + stall) stalled_until_ = now + after_stall;
     now_ = std::max(now_, now);
-    table_.forget(now_);
+    table_.remove_outdated(now_);
     if (now_ >= learned_due_) {
       std::erase_if(learned_ends_, [&](const auto& one) { return one.second <= now_; });
       learned_due_ = now_ + forget_every;
     }
   }
 
-  void alive(const std::vector<MemberId>& members) override {
+  void set_alive(const std::vector<MemberId>& members) override {
     order_.clear();
     for (MemberId member : members)
       if (member != self_) order_.emplace_back(distance(member), member);
@@ -149,116 +149,119 @@
   }
 
   // A peer that is back may have missed anything, and its clock may be another one.
-  void linked(MemberId peer, bool up) override {
+  void on_link_change(MemberId peer, bool up) override {
     peers_.erase(peer), errands_.erase(peer), owing_.erase(peer);
     if (peers_.empty()) caught_up_ = false, answered_at_ = -1;
     if (up) peers_[peer].compare = true, compare_soon_again();
     find_reached();
   }
 
-  void tell(const Knowledge& own) override {
-    Word word;
-    word.subject = subject_of(own);
-    if (std::isfinite(own.told_left) && own.told_left > 0) {
+  void publish(const RouteStatus& own) override {
+    RegisterRecord word;
+    word.name = subject_of(own);
+    if (std::isfinite(own.retry_after_left) && own.retry_after_left > 0) {
       // What was heard ends here later than it was told, by the crossings on its way, so one's own wait
       // counts although it seems to end as soon. Guards against saying as one's own what was heard: it would
       // end later with every round.
-      auto end = now_ + own.told_left, known = table_.wait_end(word.subject);
-      auto learned = learned_ends_.find(word.subject);
+      auto end = now_ + own.retry_after_left, known = table_.retry_after_end(word.name);
+      auto learned = learned_ends_.find(word.name);
       bool echo = learned != learned_ends_.end() && std::abs(end - learned->second) <= same_moment;
-      word.matter = Matter::wait, word.version.origin = self_, word.life = own_;
+      word.kind = RegisterKind::retry_after, word.version.origin = self_, word.incarnation = own_;
       const Entry* said = table_.find(key_of(word));
-      bool later = !said || end > said->said_at + said->word.span + same_moment;
-      word.span = std::min(own.told_left, span_most);
+      bool later = !said || end > said->written_at + said->record.duration + same_moment;
+      word.duration = std::min(own.retry_after_left, span_most);
       if (!echo && later && end > known - crossings_most) say(word, now_);
-      word.span = 0;
+      word.duration = 0;
     }
     tell_outage(own, word);
     tell_limit(own, word);
   }
 
-  void tell_out(const std::string& endpoint, bool out) override {
+  void publish_offline(const std::string& endpoint, bool out) override {
     if (endpoint.empty() || endpoint.size() > subject_most) return;
-    Word word;
-    word.matter = Matter::out, word.subject = endpoint, word.out = out;
+    RegisterRecord word;
+    word.kind = RegisterKind::offline, word.name = endpoint, word.offline = out;
     const Entry* held = table_.find(key_of(word));
-    if (!held || held->word.out != out) say(word, now_);
+    if (!held || held->record.offline != out) say(word, now_);
   }
 
-  void heard(MemberId from, const RegisterMessage& message) override {
-    for (const auto& spread : message.spreads)
-      for (const auto& word : spread.words) check(word);
-    for (const auto& word : message.words) check(word);
+  void on_message(MemberId from, const RegisterMessage& message) override {
+    for (const auto& spread : message.broadcasts)
+      for (const auto& word : spread.records) check(word);
+    for (const auto& word : message.records) check(word);
     for (const auto& range : message.digests) check(range);
-    for (const auto& range : message.wanted) check(range);
+    for (const auto& range : message.requested) check(range);
     for (const auto& split : message.splits) {
-      RangeDigest range{split.matter, split.prefix, split.bits, 0, 0};
+      RangeDigest range{split.kind, split.prefix, split.bits, 0, 0};
       check(range);
-      check(
-          split.bits <= bits_most && split.parts.size() == std::size_t{1} << RegisterTable::split_bits(range),
-          "a split that is none");
+      check(split.bits <= bits_most && split.child_sums.size() == std::size_t{1}
+                                                                      << RegisterTable::split_bits(range),
+            "a split that is none");
     }
-    for (const auto& heads : message.heads) check(RangeDigest{heads.matter, heads.prefix, heads.bits, 0, 0});
-    check(std::isfinite(message.sent), "no time");
+    for (const auto& heads : message.range_names)
+      check(RangeDigest{heads.kind, heads.prefix, heads.bits, 0, 0});
+    check(std::isfinite(message.sent_at), "no time");
     Peer stranger;  // its link is down already: it is heard, but not answered
     Peer& peer = peers_.count(from) ? peers_[from] : stranger;
     // Guards against waits that end later by as long as this process stood still: where there is no measure
     // of how late a message is, its words are not taken, but asked for anew.
     bool unmeasured = peer.ahead_at < 0 && now_ < stalled_until_;
-    Millis late = lateness(peer, message.sent);
+    Millis late = lateness(peer, message.sent_at);
     if (unmeasured) {
       peer.ahead_at = -1, peer.compare = true;
       return compare_soon_again();
     }
-    for (const auto& spread : message.spreads)
-      for (const auto& word : spread.words) pass(spread, word, hear(word, late));
-    std::vector<const Word*> news;
-    for (const auto& word : message.words)
-      if (hear(word, late) == RegisterTable::Merged::news) news.push_back(&word);
+    for (const auto& spread : message.broadcasts)
+      for (const auto& word : spread.records) pass(spread, word, hear(word, late));
+    std::vector<const RegisterRecord*> news;
+    for (const auto& word : message.records)
+      if (hear(word, late) == RegisterTable::MergeResult::applied) news.push_back(&word);
     auto fresh = news.size();
     // What comes in great number, or is old, is not new to the fleet but to this member.
-    for (const Word* word : news)
+    for (const RegisterRecord* word : news)
       if (fresh < feeding && word->age < hot_for) follow(*word);
-    if (fresh > 0 && message.answers) grown_at_ = now_;
+    if (fresh > 0 && message.from_comparison) grown_at_ = now_;
     if (fresh >= feeding) fed_by_ = from, fed_at_ = now_;
-    if (message.answers || message.even) peer.worked_at = now_;
-    if (message.answers && answered_at_ < 0) answered_at_ = now_;
-    if (message.answers || message.even) peer.asked_at = -unheard;
+    if (message.from_comparison || message.in_sync) peer.worked_at = now_;
+    if (message.from_comparison && answered_at_ < 0) answered_at_ = now_;
+    if (message.from_comparison || message.in_sync) peer.asked_at = -unheard;
     hear_whole(from, peer, message);
     for (const auto& split : message.splits) compare(peer, split);
-    for (const auto& heads : message.heads) compare(peer, heads);
-    for (const auto& range : message.wanted) serve(peer, range);
+    for (const auto& heads : message.range_names) compare(peer, heads);
+    for (const auto& range : message.requested) serve(peer, range);
     if (peers_.count(from)) owing_.insert(from);
-    if (message.even) caught_up_ = true;
+    if (message.in_sync) caught_up_ = true;
   }
 
-  Decided decide() override {
+  Actions decide() override {
     earn();
     settle();
-    run_from_first(*this, rules);
-    for (const auto& subject : std::exchange(changed_, {})) done_.learned.push_back(knowledge_of(subject));
+    run_by_priority(*this, rules);
+    for (const auto& subject : std::exchange(changed_, {}))
+      done_.route_reports.push_back(knowledge_of(subject));
     name_differing();
     done_.wake_in = next_due();
     due_at_ = done_.wake_in < 0 ? -1 : now_ + done_.wake_in;
     return std::exchange(done_, {});
   }
 
-  std::vector<Word> all() const override {
-    return words_of(SIZE_MAX, [](const Word&) { return true; });
+  std::vector<RegisterRecord> all_records() const override {
+    return words_of(SIZE_MAX, [](const RegisterRecord&) { return true; });
   }
-  std::vector<Word> to_keep(std::size_t most) const override {
-    return words_of(most, [](const Word& word) {
-      if (word.matter == Matter::wait) return word.age < word.span;
-      return word.matter != Matter::outage || word.state != RouteState::well;
+  std::vector<RegisterRecord> records_to_persist(std::size_t most) const override {
+    return words_of(most, [](const RegisterRecord& word) {
+      if (word.kind == RegisterKind::retry_after) return word.age < word.duration;
+      return word.kind != RegisterKind::outage || word.state != RouteState::healthy;
     });
   }
 
-  void restore(const std::vector<Word>& words, Millis gone_for) override {
+  void restore(const std::vector<RegisterRecord>& words, Millis gone_for) override {
     for (const auto& word : words) check(word);
     for (const auto& word : words) {
-      count_ = std::max(count_, word.version.count);
+      count_ = std::max(count_, word.version.counter);
       auto result = table_.merge(word, now_ - word.age - std::max(gone_for, 0.0), now_);
-      if (result == RegisterTable::Merged::news || result == RegisterTable::Merged::nearer) changed(word);
+      if (result == RegisterTable::MergeResult::applied || result == RegisterTable::MergeResult::earlier)
+        changed(word);
     }
   }
 
@@ -284,7 +287,7 @@
     using Tasks = std::map<std::tuple<int, std::uint8_t, std::uint64_t>, Task>;
     Tasks digests, splits, heads, wanted, serving;
     static void add(Tasks& tasks, const RangeDigest& range) {
-      tasks.try_emplace({rank_of(range.matter), range.bits, range.prefix}, Task{range, {}, false});
+      tasks.try_emplace({priority_of(range.kind), range.bits, range.prefix}, Task{range, {}, false});
     }
     bool owes() const {
       return even || !digests.empty() || !splits.empty() || !heads.empty() || !wanted.empty() ||
@@ -303,18 +306,18 @@
   }
   MemberId at_distance(std::uint64_t far) const { return MemberId{static_cast<std::uint64_t>(self_) + far}; }
   bool reaches(MemberId member) const { return peers_.count(member) && living_.count(member); }
-  Word as_of_now(const Entry& entry) const {
-    Word word = entry.word;
-    word.age = std::max(0.0, now_ - entry.said_at);
+  RegisterRecord as_of_now(const Entry& entry) const {
+    RegisterRecord word = entry.record;
+    word.age = std::max(0.0, now_ - entry.written_at);
     return word;
   }
 
   template <typename Wanted>
-  std::vector<Word> words_of(std::size_t most, Wanted wanted) const {
-    std::vector<Word> words;
-    for (Matter matter : by_rank)
-      for (auto at = table_.first({matter, 0, 0, 0, 0});
-           words.size() < most && table_.within({matter, 0, 0, 0, 0}, at); ++at)
+  std::vector<RegisterRecord> words_of(std::size_t most, Wanted wanted) const {
+    std::vector<RegisterRecord> words;
+    for (RegisterKind matter : kinds_by_priority)
+      for (auto at = table_.range_begin({matter, 0, 0, 0, 0});
+           words.size() < most && table_.in_range({matter, 0, 0, 0, 0}, at); ++at)
         if (auto word = as_of_now(at->second); wanted(word)) words.push_back(std::move(word));
     return words;
   }
@@ -333,119 +336,123 @@
 
   // --- what is said and heard ---
 
-  void say(Word word, Millis said_at) {
-    word.version = {++count_, self_}, word.life = own_, word.age = 0;
-    if (table_.merge(word, said_at, now_) != RegisterTable::Merged::news) return;
+  void say(RegisterRecord word, Millis said_at) {
+    word.version = {++count_, self_}, word.incarnation = own_, word.age = 0;
+    if (table_.merge(word, said_at, now_) != RegisterTable::MergeResult::applied) return;
     duties_[key_of(word)] = {UINT64_MAX};
     follow(word);
   }
 
   // Newer evidence only: what this relay has learnt from here comes back as older.
-  void tell_outage(const Knowledge& own, Word word) {
-    word.matter = Matter::outage, word.state = own.state;
-    word.rate_before = std::isfinite(own.rate_before) ? std::clamp(own.rate_before, 0.0, figure_most) : 0;
+  void tell_outage(const RouteStatus& own, RegisterRecord word) {
+    word.kind = RegisterKind::outage, word.state = own.state;
+    word.rate_before_outage =
+        std::isfinite(own.rate_before_outage) ? std::clamp(own.rate_before_outage, 0.0, figure_most) : 0;
     const Entry* held = table_.find(key_of(word));
     auto seen = now_ - std::max(own.state_age, 0.0);
-    if (!held && own.state == RouteState::well) return;
-    if (held && seen <= held->said_at + same_moment) return;
-    if (held && held->word.state == own.state && seen < held->said_at + outage_again) return;
+    if (!held && own.state == RouteState::healthy) return;
+    if (held && seen <= held->written_at + same_moment) return;
+    if (held && held->record.state == own.state && seen < held->written_at + outage_again) return;
     say(word, seen);
   }
 
-  void tell_limit(const Knowledge& own, Word word) {
-    if (!std::isfinite(own.limit) || own.limit <= 0 || own.limit > figure_most) return;
-    word.matter = Matter::limit, word.limit = own.limit;
-    word.left_share = std::isfinite(own.left_share) ? std::clamp(own.left_share, 0.0, 1.0) : 1;
+  void tell_limit(const RouteStatus& own, RegisterRecord word) {
+    if (!std::isfinite(own.rate_limit) || own.rate_limit <= 0 || own.rate_limit > figure_most) return;
+    word.kind = RegisterKind::rate_limit, word.rate_limit = own.rate_limit;
+    word.remaining_share = std::isfinite(own.remaining_share) ? std::clamp(own.remaining_share, 0.0, 1.0) : 1;
     const Entry* held = table_.find(key_of(word));
     auto met = now_ - std::max(own.limit_age, 0.0);
     if (held) {
-      bool alike = std::abs(held->word.limit - word.limit) <= limit_alike * held->word.limit &&
-                   std::abs(held->word.left_share - word.left_share) <= share_alike;
-      if (met <= held->said_at + (alike ? limit_again : limit_gap)) return;
+      bool alike =
+          std::abs(held->record.rate_limit - word.rate_limit) <= limit_alike * held->record.rate_limit &&
+          std::abs(held->record.remaining_share - word.remaining_share) <= share_alike;
+      if (met <= held->written_at + (alike ? limit_again : limit_gap)) return;
     }
     say(word, met);
   }
 
-  RegisterTable::Merged hear(const Word& word, Millis late) {
-    count_ = std::max(count_, word.version.count);
+  RegisterTable::MergeResult hear(const RegisterRecord& word, Millis late) {
+    count_ = std::max(count_, word.version.counter);
     const Entry* held = table_.find(key_of(word));
     Entry mine;
-    bool was_mine = held && held->word.version.origin == self_ && held->word.life == own_;
+    bool was_mine = held && held->record.version.origin == self_ && held->record.incarnation == own_;
     if (was_mine) mine = *held;
     auto result = table_.merge(word, now_ - word.age - late, now_);
-    if (result == RegisterTable::Merged::full && !std::exchange(full_, true))
+    if (result == RegisterTable::MergeResult::full && !std::exchange(full_, true))
       done_.log.push_back("shared state is full: entries of others are not kept");
-    if (result != RegisterTable::Merged::news && result != RegisterTable::Merged::nearer) return result;
+    if (result != RegisterTable::MergeResult::applied && result != RegisterTable::MergeResult::earlier)
+      return result;
     // Guards against an earlier life of this member that counted higher than this one knew of: what this life
     // said since is newer than all that the other did.
-    if (was_mine && word.version.origin == self_ && word.life != own_) say(mine.word, mine.said_at);
+    if (was_mine && word.version.origin == self_ && word.incarnation != own_)
+      say(mine.record, mine.written_at);
     else changed(word);
     return result;
   }
 
-  void changed(const Word& word) {
-    if (word.matter != Matter::out) changed_.insert(word.subject);
-    else done_.outs.push_back({word.subject, word.out});
+  void changed(const RegisterRecord& word) {
+    if (word.kind != RegisterKind::offline) changed_.insert(word.name);
+    else done_.offline_orders.push_back({word.name, word.offline});
   }
 
-  void pass(const Spread& spread, const Word& word, RegisterTable::Merged result) {
+  void pass(const Broadcast& spread, const RegisterRecord& word, RegisterTable::MergeResult result) {
     auto key = key_of(word);
     if (!table_.find(key)) return;
     if (auto far = distance(spread.last)) {
       auto& duty = duties_[key].far;
       duty = std::max(duty, far);
     }
-    for (MemberId member : spread.also)
+    for (MemberId member : spread.forward_to)
       if (reaches(member)) errands_[member].insert(key);
-    if (result == RegisterTable::Merged::news) follow(word);
+    if (result == RegisterTable::MergeResult::applied) follow(word);
   }
 
   Millis follow_distance() { return (few_others() ? few_follow_every : follow_every) * (0.8 + 0.4 * draw()); }
-  void follow(const Word& word) {
-    if (word.matter == Matter::limit) return;
+  void follow(const RegisterRecord& word) {
+    if (word.kind == RegisterKind::rate_limit) return;
     if (follows_.empty()) follow_at_ = now_ + follow_distance();
     follows_[key_of(word)] = std::min(follows, order_.size());
   }
 
-  Knowledge knowledge_of(const std::string& subject) {
-    Knowledge known;
-    known.apart = subject[0] == 'e';
+  RouteStatus knowledge_of(const std::string& subject) {
+    RouteStatus known;
+    known.per_endpoint = subject[0] == 'e';
     known.route = std::stoull(subject.substr(1), nullptr, 16);
-    known.told_left = std::max(0.0, table_.wait_end(subject) - now_);
-    if (known.told_left > 0) {
+    known.retry_after_left = std::max(0.0, table_.retry_after_end(subject) - now_);
+    if (known.retry_after_left > 0) {
       auto& end = learned_ends_[subject];
-      end = std::max(end, now_ + known.told_left);
+      end = std::max(end, now_ + known.retry_after_left);
     }
-    Word word;
-    word.subject = subject, known.state_age = unheard, known.limit_age = unheard;
-    word.matter = Matter::outage;
+    RegisterRecord word;
+    word.name = subject, known.state_age = unheard, known.limit_age = unheard;
+    word.kind = RegisterKind::outage;
     if (const Entry* entry = table_.find(key_of(word))) {
-      known.state = entry->word.state, known.state_age = std::max(0.0, now_ - entry->said_at);
+      known.state = entry->record.state, known.state_age = std::max(0.0, now_ - entry->written_at);
       // One that sent there itself knows its own rate; the others share what the teller sent, or together
       // they would push over what returns cold.
-      known.rate_before = entry->word.rate_before / static_cast<double>(order_.size() + 1);
+      known.rate_before_outage = entry->record.rate_before_outage / static_cast<double>(order_.size() + 1);
     }
-    word.matter = Matter::limit;
+    word.kind = RegisterKind::rate_limit;
     if (const Entry* entry = table_.find(key_of(word))) {
-      known.limit = entry->word.limit, known.left_share = entry->word.left_share;
-      known.limit_age = std::max(0.0, now_ - entry->said_at);
+      known.rate_limit = entry->record.rate_limit, known.remaining_share = entry->record.remaining_share;
+      known.limit_age = std::max(0.0, now_ - entry->written_at);
     }
     return known;
   }
 
   void name_differing() {
-    for (const auto& one : table_.take_differing()) {
+    for (const auto& one : table_.take_conflicts()) {
       if (named_.size() >= named_most) named_.clear();
       if (!named_.insert({one.key, one.version}).second) continue;
       char text[120];
       std::snprintf(text, sizeof text, "%s of %.40s, version %llu of %016llx",
-                    one.key.matter == Matter::wait     ? "told wait"
-                    : one.key.matter == Matter::outage ? "outage"
-                    : one.key.matter == Matter::limit  ? "limit"
-                                                       : "order of staff",
-                    one.key.subject.c_str(), static_cast<unsigned long long>(one.version.count),
+                    one.key.kind == RegisterKind::retry_after  ? "told wait"
+                    : one.key.kind == RegisterKind::outage     ? "outage"
+                    : one.key.kind == RegisterKind::rate_limit ? "limit"
+                                                               : "order of staff",
+                    one.key.name.c_str(), static_cast<unsigned long long>(one.version.counter),
                     static_cast<unsigned long long>(one.version.origin));
-      done_.differing.push_back(text);
+      done_.conflicts.push_back(text);
     }
   }
 
@@ -460,14 +467,14 @@
     peer.compare = false;
     bool equal = true;
     auto differ = [&](const RangeDigest& theirs, const RangeDigest& mine) {
-      return mine.sum != theirs.sum || mine.entries != theirs.entries;
+      return mine.sum != theirs.sum || mine.entry_count != theirs.entry_count;
     };
     auto mine = [&](const RangeDigest& theirs) {
-      return table_.digest(theirs.matter, theirs.prefix, theirs.bits);
+      return table_.digest(theirs.kind, theirs.prefix, theirs.bits);
     };
     for (const auto& theirs : message.digests) equal &= !differ(theirs, mine(theirs));
     if (equal) {
-      peer.even = message.asks, caught_up_ = true;
+      peer.even = message.confirm_sync, caught_up_ = true;
       return;
     }
     // Both asked at once: one of the two answers. And what one peer is sending already, no other is to send.
@@ -475,7 +482,7 @@
     if (busy_but_with(from)) return;
     peer.worked_at = now_;
     for (const auto& theirs : message.digests)
-      if (differ(theirs, mine(theirs))) differs(peer, mine(theirs), theirs.entries == 0);
+      if (differ(theirs, mine(theirs))) differs(peer, mine(theirs), theirs.entry_count == 0);
   }
   bool busy_but_with(MemberId peer) const {
     if (fed_by_ != peer && peers_.count(fed_by_) && now_ < fed_at_ + exchange_rest) return true;
@@ -485,27 +492,28 @@
     });
   }
   void compare(Peer& peer, const RangeSplit& theirs) {
-    int by = RegisterTable::split_bits({theirs.matter, theirs.prefix, theirs.bits, 0, 0});
-    for (std::uint64_t i = 0; i < theirs.parts.size(); ++i) {
-      auto mine = table_.digest(theirs.matter, theirs.prefix << by | i, theirs.bits + by);
-      if (RegisterTable::half(mine) != theirs.parts[i]) differs(peer, mine, theirs.parts[i] == 0);
+    int by = RegisterTable::split_bits({theirs.kind, theirs.prefix, theirs.bits, 0, 0});
+    for (std::uint64_t i = 0; i < theirs.child_sums.size(); ++i) {
+      auto mine = table_.digest(theirs.kind, theirs.prefix << by | i, theirs.bits + by);
+      if (RegisterTable::half_sum(mine) != theirs.child_sums[i])
+        differs(peer, mine, theirs.child_sums[i] == 0);
     }
   }
   void differs(Peer& peer, const RangeDigest& mine, bool theirs_empty) {
     if (!has_room(peer)) return;
-    if (mine.entries == 0) Peer::add(peer.wanted, mine);
+    if (mine.entry_count == 0) Peer::add(peer.wanted, mine);
     else if (theirs_empty) serve(peer, mine);
-    else if (mine.entries <= (mine.bits == 0 ? whole_heads_most : heads_most) || mine.bits >= bits_most)
+    else if (mine.entry_count <= (mine.bits == 0 ? whole_heads_most : heads_most) || mine.bits >= bits_most)
       Peer::add(peer.heads, mine);
     else Peer::add(peer.splits, mine);
   }
 
-  void compare(Peer& peer, const RangeHeads& theirs) {
-    std::map<std::uint64_t, Head> held;
-    for (const auto& head : table_.heads({theirs.matter, theirs.prefix, theirs.bits, 0, 0}))
+  void compare(Peer& peer, const RangeNames& theirs) {
+    std::map<std::uint64_t, NameDigest> held;
+    for (const auto& head : table_.names({theirs.kind, theirs.prefix, theirs.bits, 0, 0}))
       held[head.hash] = head;
-    auto one = [&](std::uint64_t hash) { return RangeDigest{theirs.matter, hash, 64, 0, 0}; };
-    for (const auto& head : theirs.heads) {
+    auto one = [&](std::uint64_t hash) { return RangeDigest{theirs.kind, hash, 64, 0, 0}; };
+    for (const auto& head : theirs.names) {
       auto mine = held.find(head.hash);
       bool lacks = mine == held.end();
       if (!lacks && mine->second.sum == head.sum) {
@@ -513,9 +521,9 @@
         continue;
       }
       // Of a wait each may hold what the other lacks; of the rest the newer version goes over.
-      bool both = theirs.matter == Matter::wait;
-      bool take = lacks || both || mine->second.count <= head.count;
-      bool give = !lacks && (both || mine->second.count >= head.count);
+      bool both = theirs.kind == RegisterKind::retry_after;
+      bool take = lacks || both || mine->second.counter <= head.counter;
+      bool give = !lacks && (both || mine->second.counter >= head.counter);
       if (take && has_room(peer)) Peer::add(peer.wanted, one(head.hash));
       if (!give) held.erase(head.hash);
     }
@@ -523,7 +531,7 @@
   }
 
   void serve(Peer& peer, RangeDigest range) {
-    range.sum = range.entries = 0;
+    range.sum = range.entry_count = 0;
     if (has_room(peer)) Peer::add(peer.serving, range);
   }
 
@@ -568,10 +576,10 @@
 
   // The most urgent duty, the furthest of these; those that are done or cannot be done are let go.
   Duties::iterator foremost() {
-    for (Matter matter : by_rank) {
+    for (RegisterKind matter : kinds_by_priority) {
       auto best = duties_.end();
       for (auto at = duties_.lower_bound({matter, 0, {}, {}, {}});
-           at != duties_.end() && at->first.matter == matter;) {
+           at != duties_.end() && at->first.kind == matter;) {
         if (covered(at->second.far) == 0 || !table_.find(at->first)) {
           at = duties_.erase(at);
           continue;
@@ -583,8 +591,8 @@
     }
     return duties_.end();
   }
-  double needed(Matter matter) const {
-    return matter == Matter::limit ? 1 + std::min(spare, tokens_most() / 2) : 1;
+  double needed(RegisterKind matter) const {
+    return matter == RegisterKind::rate_limit ? 1 + std::min(spare, tokens_most() / 2) : 1;
   }
 
   double gossip_needed() const { return 1 + std::min(gossip_spare, tokens_most() / 2); }
@@ -592,7 +600,7 @@
   bool has_duty() {
     if (duties_.empty() || tokens_ < 1) return false;
     auto duty = foremost();
-    return duty != duties_.end() && tokens_ >= needed(duty->first.matter);
+    return duty != duties_.end() && tokens_ >= needed(duty->first.kind);
   }
   // With messages enough at hand, each is told directly. Else `branches` members take over a like part each,
   // and nothing is left to do here: a hop costs less than waiting for the next message. With one at hand,
@@ -622,20 +630,20 @@
     auto far = duty->second.far;
     RegisterMessage message;
     building_ = 64;
-    message.spreads.push_back({by, unreached, {}});
+    message.broadcasts.push_back({by, unreached, {}});
     for (auto at = duties_.begin(); at != duties_.end();) {
       if (at->second.far != far) {
         ++at;
         continue;
       }
       if (const Entry* entry = table_.find(at->first); entry && by != self_ && room_for(message, *entry))
-        message.spreads.back().words.push_back(as_of_now(*entry));
+        message.broadcasts.back().records.push_back(as_of_now(*entry));
       at = duties_.erase(at);
     }
-    if (by != self_ && !message.spreads.back().words.empty()) send(by, std::move(message));
+    if (by != self_ && !message.broadcasts.back().records.empty()) send(by, std::move(message));
   }
   bool room_for(const RegisterMessage&, const Entry& entry) {
-    std::size_t size = size_of(entry.word);
+    std::size_t size = size_of(entry.record);
     if (building_ + size > message_bytes) return false;
     building_ += size;
     return true;
@@ -662,7 +670,7 @@
     for (auto at = follows_.begin(); at != follows_.end();) {
       const Entry* entry = there.count(at->first) ? nullptr : table_.find(at->first);
       if (entry && !room_for(message, *entry)) break;
-      if (entry) message.words.push_back(as_of_now(*entry));
+      if (entry) message.records.push_back(as_of_now(*entry));
       if (at->second <= 1) at = follows_.erase(at);
       else --at->second, ++at;
     }
@@ -671,7 +679,7 @@
   bool is_compare_due() {
     if (living_.empty()) return false;
     auto late = now_ - compare_at_;
-    return late >= 0 && tokens_ >= (late >= compare_late ? 1 : needed(Matter::limit));
+    return late >= 0 && tokens_ >= (late >= compare_late ? 1 : needed(RegisterKind::rate_limit));
   }
   void compare_soon_again() { compare_at_ = std::min(compare_at_, now_ + compare_spread * draw()); }
   // One that has come back goes before others. Whoever catches up does so with one at a time, as another
@@ -692,7 +700,7 @@
     peer.compare = false;
     if (now_ < peer.worked_at + exchange_rest && peer.owes()) return;
     peer.asked_at = now_;
-    for (Matter matter : by_rank) Peer::add(peer.digests, table_.digest(matter, 0, 0));
+    for (RegisterKind matter : kinds_by_priority) Peer::add(peer.digests, table_.digest(matter, 0, 0));
     peer.asks = !caught_up_;
     emit(to, false);
   }
@@ -709,7 +717,7 @@
     }
     return self_;
   }
-  bool owes_catch_up() { return tokens_ >= needed(Matter::limit) && owing() != self_; }
+  bool owes_catch_up() { return tokens_ >= needed(RegisterKind::rate_limit) && owing() != self_; }
   void catch_up() { emit(owing(), false); }
 
   // One message with all that is for that member: the news that it is to have or to take over, errands, and
@@ -724,7 +732,7 @@
       while (!keys.empty()) {
         const Entry* entry = table_.find(*keys.begin());
         if (entry && !room_for(message, *entry)) break;
-        if (entry) message.words.push_back(as_of_now(*entry));
+        if (entry) message.records.push_back(as_of_now(*entry));
         there.insert(*keys.begin()), keys.erase(keys.begin());
       }
       if (keys.empty()) errands_.erase(found);
@@ -737,42 +745,43 @@
 
   void add_news(MemberId to, RegisterMessage& message, std::set<EntryKey>& there) {
     auto far = distance(to);
-    std::map<std::uint64_t, Spread> spreads;
-    for (Matter matter : by_rank)
+    std::map<std::uint64_t, Broadcast> spreads;
+    for (RegisterKind matter : kinds_by_priority)
       for (auto at = duties_.lower_bound({matter, 0, {}, {}, {}});
-           at != duties_.end() && at->first.matter == matter;) {
+           at != duties_.end() && at->first.kind == matter;) {
         const Entry* entry = at->second.far >= far ? table_.find(at->first) : nullptr;
         if (!entry || !room_for(message, *entry)) {
           ++at;
           continue;
         }
-        spreads[at->second.far].words.push_back(as_of_now(*entry));
+        spreads[at->second.far].records.push_back(as_of_now(*entry));
         there.insert(at->first);
         at->second.far = far - 1;
         at = at->second.far == 0 ? duties_.erase(at) : std::next(at);
       }
     for (auto& [last, spread] : spreads) {
       spread.last = at_distance(last);
-      message.spreads.push_back(std::move(spread));
+      message.broadcasts.push_back(std::move(spread));
     }
   }
 
   void add_catch_up(Peer& peer, RegisterMessage& message) {
-    message.even = std::exchange(peer.even, false), message.asks = std::exchange(peer.asks, false);
-    auto words = message.words.size();
+    message.in_sync = std::exchange(peer.even, false), message.confirm_sync = std::exchange(peer.asks, false);
+    auto words = message.records.size();
     auto take = [&](Peer::Tasks& from, std::size_t size, auto add) {
       while (!from.empty() && building_ + size <= message_bytes) {
         add(from.begin()->second.range);
         building_ += size, from.erase(from.begin());
       }
     };
-    take(peer.wanted, digest_size, [&](const RangeDigest& range) { message.wanted.push_back(range); });
+    take(peer.wanted, digest_size, [&](const RangeDigest& range) { message.requested.push_back(range); });
     while (!peer.serving.empty()) {
       auto& serving = peer.serving.begin()->second;
-      auto at = serving.begun ? table_.entries().lower_bound(serving.from) : table_.first(serving.range);
-      while (table_.within(serving.range, at) && room_for(message, at->second))
-        message.words.push_back(as_of_now(at->second)), ++at;
-      if (table_.within(serving.range, at)) {
+      auto at =
+          serving.begun ? table_.entries().lower_bound(serving.from) : table_.range_begin(serving.range);
+      while (table_.in_range(serving.range, at) && room_for(message, at->second))
+        message.records.push_back(as_of_now(at->second)), ++at;
+      if (table_.in_range(serving.range, at)) {
         serving.from = at->first, serving.begun = true;
         break;
       }
@@ -781,23 +790,23 @@
     take(peer.digests, digest_size, [&](const RangeDigest& range) { message.digests.push_back(range); });
     while (!peer.splits.empty() && building_ + digest_size + 16 * part_size <= message_bytes) {
       message.splits.push_back(table_.split(peer.splits.begin()->second.range));
-      building_ += digest_size + part_size * message.splits.back().parts.size();
+      building_ += digest_size + part_size * message.splits.back().child_sums.size();
       peer.splits.erase(peer.splits.begin());
     }
     while (!peer.heads.empty() && building_ + digest_size <= message_bytes) {
       auto range = peer.heads.begin()->second.range;
-      auto heads = table_.heads(range);
+      auto heads = table_.names(range);
       building_ += digest_size + head_size * heads.size();
-      message.heads.push_back({range.matter, range.prefix, range.bits, std::move(heads)});
+      message.range_names.push_back({range.kind, range.prefix, range.bits, std::move(heads)});
       peer.heads.erase(peer.heads.begin());
     }
-    message.answers = message.words.size() > words || !message.wanted.empty() || !message.splits.empty() ||
-                      !message.heads.empty();
-    if (message.answers) peer.worked_at = now_;
+    message.from_comparison = message.records.size() > words || !message.requested.empty() ||
+                              !message.splits.empty() || !message.range_names.empty();
+    if (message.from_comparison) peer.worked_at = now_;
   }
 
   void send(MemberId to, RegisterMessage message) {
-    message.sent = now_;
+    message.sent_at = now_;
     tokens_ -= 1, building_ = 0;
     peers_[to].sent_at = now_;
     done_.sends.push_back({to, std::move(message)});
@@ -813,10 +822,10 @@
   Millis next_due() {
     if (living_.empty()) return -1;
     Millis due = std::max(0.0, compare_at_ - now_);
-    if (is_compare_due() || due <= 0) due = std::max(1.0, until_tokens(needed(Matter::limit)));
+    if (is_compare_due() || due <= 0) due = std::max(1.0, until_tokens(needed(RegisterKind::rate_limit)));
     if (!duties_.empty()) {
       auto duty = foremost();
-      if (duty != duties_.end()) due = std::min(due, std::max(1.0, until_tokens(needed(duty->first.matter))));
+      if (duty != duties_.end()) due = std::min(due, std::max(1.0, until_tokens(needed(duty->first.kind))));
     }
     if (!errands_.empty()) due = std::min(due, std::max(1.0, until_tokens(1)));
     if (!follows_.empty())
@@ -824,7 +833,7 @@
     for (MemberId member : owing_)
       if (living_.count(member)) {
         auto gap = peers_.at(member).sent_at + peer_gap - now_;
-        due = std::min(due, std::max({1.0, gap, until_tokens(needed(Matter::limit))}));
+        due = std::min(due, std::max({1.0, gap, until_tokens(needed(RegisterKind::rate_limit))}));
       }
     return due;
   }
@@ -863,7 +872,7 @@
   Millis learned_due_ = 0;
   std::set<std::string> changed_;  // routes to tell the decision module of
   std::set<std::pair<EntryKey, Version>> named_;
-  Decided done_;
+  Actions done_;
 };
 
 }  // namespace
--- a/src/fleet/rules.h
+++ b/src/fleet/rules.h
@@ -14,7 +14,7 @@
 
 // From the first rule anew after each that fired: an earlier rule goes before any later one.
 template <typename Module, typename Rules>
-void run_from_first(Module& module, const Rules& rules) {
+void run_by_priority(Module& module, const Rules& rules) {
   for (bool fired = true; fired;) {
     fired = false;
     for (const auto& rule : rules)
@@ -27,7 +27,7 @@
 
 // Through all rules, and again while one of them fired.
 template <typename Module, typename Rules, typename... Subject>
-void run_through(Module& module, const Rules& rules, Subject&... subject) {
+void run_until_stable(Module& module, const Rules& rules, Subject&... subject) {
   for (bool fired = true; fired;) {
     fired = false;
     for (const auto& rule : rules)
--- a/src/latest/compaction.cpp
+++ b/src/latest/compaction.cpp
@@ -112,7 +112,7 @@
 };
 
 std::optional<SegmentId> Compaction::decide(std::vector<std::string>& log) {
-  fleet::run_through(*this, rules_);
+  fleet::run_until_stable(*this, rules_);
   if (failures_ > 0 && stage_ == Stage::resting && rests_until_ > now_ && !std::exchange(told_, true))
     log.push_back("a compaction failed, tried again in " +
                   std::to_string(static_cast<long>(rests_until_ - now_)) + " ms");
--- a/src/latest/duty.cpp
+++ b/src/latest/duty.cpp
@@ -182,7 +182,7 @@
   for (const Lane& lane : lanes) {
     Term& term = terms_[lane];
     term.lane = lane;
-    fleet::run_through(*this, rules_, term);
+    fleet::run_until_stable(*this, rules_, term);
     if (term.standing && !term.yielding) due_ = std::min(due_, term.ask_at);
     else if (!leaving_) {
       int place = rank(lane, self_);
--- a/src/model/cold_fleet.cpp
+++ b/src/model/cold_fleet.cpp
@@ -38,20 +38,20 @@
     settings_.slots = 20;
     settings_.max_transmissions = 12;
     settings_.tick = tick;
-    settings_.connect_within = connect_within;
-    settings_.fall_multiple = scenario_.fall_multiple;
+    settings_.connect_timeout = connect_within;
+    settings_.overload_multiple = scenario_.fall_multiple;
     settings_.start_capacity = scenario_.start_capacity;
-    settings_.warm_within = scenario_.warm_within;
-    settings_.limits_listed = limits_listed();
-    settings_.reject_wait_max = 3000;
+    settings_.warm_up_time = scenario_.warm_within;
+    settings_.limits_from_discovery = limits_listed();
+    settings_.max_retry_after = 3000;
     DocType type;
-    type.agreed_time = 4000;
+    type.target_latency = 4000;
     type.lifetime = 20000;
-    type.repeat = Repeat::replayable;
+    type.retry_safety = RetrySafety::idempotent;
     settings_.doc_types = {type};
-    Kind kind;
-    kind.bundle_max = scenario_.bundle_max;
-    settings_.kinds = {kind};
+    DestinationKind kind;
+    kind.max_batch_size = scenario_.bundle_max;
+    settings_.destination_kinds = {kind};
     relays_.resize(scenario_.relay_rates.size());
     for (std::size_t i = 0; i < relays_.size(); ++i) {
       start(i, drawn(chance_, 0, 1000));
@@ -94,7 +94,8 @@
   struct Relay {
     std::unique_ptr<Decision> decision;
     std::map<DocId, Held> held;
-    std::map<std::uint64_t, std::pair<Knowledge, Millis>> kept;  // by route: as its folder has it, since when
+    std::map<std::uint64_t, std::pair<RouteStatus, Millis>>
+        kept;  // by route: as its folder has it, since when
     std::uint64_t life = 0, wake = 0;
     bool runs = true;
     Millis told_at = -1;  // a call failed there in an outage, or another relay told of it; negative: not told
@@ -156,7 +157,7 @@
   void start(std::size_t i, Millis at) {
     Relay& relay = relays_[i];
     relay.decision = Decision::make(settings_, chance_());
-    relay.decision->begin(at);
+    relay.decision->begin_turn(at);
     std::vector<EndpointEntry> entries;
     for (int n = 1; n <= scenario_.endpoints; ++n) {
       EndpointEntry entry;
@@ -165,7 +166,7 @@
       entry.listed_rate = limits_listed() ? scenario_.listed_limit : 0;
       entries.push_back(entry);
     }
-    relay.decision->list(entries, true);
+    relay.decision->update_endpoints(entries, true);
     relay.runs = true;
   }
 
@@ -181,11 +182,11 @@
     if (event.kind == Event::kill) return kill(event.relay);
     if (event.kind == Event::start_again) return start_again(event.relay, event.number != 0);
     if (!relay.runs) return;
-    relay.decision->begin(now_);
+    relay.decision->begin_turn(now_);
     if (event.kind == Event::arrival) arrive(relay);
     if (event.kind == Event::outcome) {
       trace(event.relay, "end " + std::to_string(event.number) + " " +
-                             std::to_string(static_cast<int>(calls_[event.number].outcome.ending)));
+                             std::to_string(static_cast<int>(calls_[event.number].outcome.result)));
       end_call(relay, calls_[event.number]);
     }
     if (event.kind == Event::connected) connected(event.relay, event.number);
@@ -198,10 +199,10 @@
     Document document;
     document.id = id;
     document.destination = the_destination;
-    document.left = held.expiry - now_;
+    document.time_left = held.expiry - now_;
     document.transmissions = held.transmissions;
     document.may_have_run = held.may_have_run;
-    relay.decision->take(document);
+    relay.decision->accept(document);
   }
 
   void arrive(Relay& relay) {
@@ -217,22 +218,22 @@
   }
 
   void end_call(Relay& relay, const Call& call) {
-    bool answered = call.outcome.ending == Ending::answered;
-    if (!answered && call.outcome.ending != Ending::not_sent && outage_at(call.sent))
+    bool answered = call.outcome.result == TransmissionResult::answered;
+    if (!answered && call.outcome.result != TransmissionResult::not_sent && outage_at(call.sent))
       relay.told_at = std::max(relay.told_at, call.sent);
     for (auto [doc, transmission] : call.messages) {
       Outcome outcome = call.outcome;
       outcome.doc = doc;
       outcome.transmission = transmission;
-      outcome.over = answered || !relay.held.count(doc);
+      outcome.completed = answered || !relay.held.count(doc);
       relay.decision->outcome(outcome);
       if (answered && relay.held.erase(doc) > 0) delivered_ += is_cold(call.sent);
     }
   }
 
-  void learn(Relay& relay, const Knowledge& known) {
+  void learn(Relay& relay, const RouteStatus& known) {
     if (known.state == RouteState::down) relay.told_at = std::max(relay.told_at, now_ - known.state_age);
-    relay.decision->learn(known);
+    relay.decision->apply_route_status(known);
   }
 
   void kill(std::size_t i) {
@@ -252,10 +253,10 @@
     for (const auto& [route, entry] : relay.kept) {
       auto [known, kept_at] = entry;
       Millis ago = now_ - kept_at;
-      known.told_left = std::max(0.0, known.told_left - ago);
+      known.retry_after_left = std::max(0.0, known.retry_after_left - ago);
       known.state_age += ago;
       known.limit_age += ago;
-      relay.decision->learn(known);
+      relay.decision->apply_route_status(known);
     }
     for (auto& [id, held] : relay.held)
       if (held.expiry > now_ + 2 * tick) take(relay, id, held);
@@ -265,7 +266,7 @@
 
   void open_ahead(std::size_t i) {
     Relay& relay = relays_[i];
-    if (!relay.decision->may_open_ahead(EndpointId{1}, relay.connections)) return;
+    if (!relay.decision->may_preconnect(EndpointId{1}, relay.connections)) return;
     ++relay.connections;
     reached(relay);
     schedule(now_ + open_ahead_every, Event::open_ahead, i);
@@ -275,14 +276,15 @@
 
   void decide(std::size_t i) {
     Relay& relay = relays_[i];
-    Decided done = relay.decision->decide();
+    Actions done = relay.decision->decide();
     for (const auto& rejected : done.rejected) relay.held.erase(rejected.doc);
     for (DocId doc : done.abandoned) relay.held.erase(doc);
     for (const auto& line : done.log) trace(i, line);
-    for (const auto& known : relay.decision->to_keep()) relay.kept[known.route] = {known, now_};
-    send(i, done.transmitted);
+    for (const auto& known : relay.decision->route_statuses_to_persist())
+      relay.kept[known.route] = {known, now_};
+    send(i, done.transmissions);
     if (scenario_.relays_talk)
-      for (const auto& known : relay.decision->knowledge(false)) tell_all(i, known);
+      for (const auto& known : relay.decision->route_statuses(false)) tell_all(i, known);
     ++relay.wake;
     if (done.wake_in >= 0) {
       Millis ticks = std::ceil(std::max(done.wake_in, 1.0) / tick);
@@ -290,7 +292,7 @@
     }
   }
 
-  void tell_all(std::size_t from, const Knowledge& known) {
+  void tell_all(std::size_t from, const RouteStatus& known) {
     learnt_.push_back(known);
     for (std::size_t i = 0; i < relays_.size(); ++i)
       if (i != from) schedule(now_ + link_time, Event::learnt, i, learnt_.size() - 1);
@@ -310,7 +312,7 @@
         calls_.push_back(new_call(relay, one));
       }
       Call& call = calls_[open[one.endpoint]];
-      call.outcome.took = std::min(call.outcome.took, one.time_out);
+      call.outcome.duration = std::min(call.outcome.duration, one.timeout);
       call.messages.emplace_back(one.doc, relay.held.at(one.doc).transmissions++);
     }
     for (std::uint64_t number = first; number < calls_.size(); ++number) begin_call(i, number);
@@ -321,25 +323,25 @@
     call.life = relay.life;
     call.sent = now_;
     call.outcome.endpoint = transmit.endpoint;
-    call.outcome.kept = scenario_.host_knows_connections ? 0 : -1;
-    call.outcome.took = transmit.time_out;  // until it is known how it ends
+    call.outcome.connection_idle_time = scenario_.host_knows_connections ? 0 : -1;
+    call.outcome.duration = transmit.timeout;  // until it is known how it ends
     return call;
   }
 
   void begin_call(std::size_t i, std::uint64_t number) {
     if (!odds(chance_, scenario_.late_connections)) return write_call(i, number);
     for (auto [doc, transmission] : calls_[number].messages)
-      relays_[i].decision->connecting(doc, transmission);
+      relays_[i].decision->note_connecting(doc, transmission);
     schedule(now_ + drawn(chance_, 0, scenario_.late_connection_most), Event::connected, i, number);
   }
 
   void connected(std::size_t i, std::uint64_t number) {
-    auto asked = MayBegin::now;
+    auto asked = SendPermission::now;
     for (auto [doc, transmission] : calls_[number].messages)
-      asked = std::max(asked, relays_[i].decision->may_begin(doc, transmission));
-    if (asked == MayBegin::later) return schedule(now_ + tick, Event::connected, i, number);
-    if (asked == MayBegin::now) return write_call(i, number);
-    calls_[number].outcome.ending = Ending::not_sent;
+      asked = std::max(asked, relays_[i].decision->may_send(doc, transmission));
+    if (asked == SendPermission::later) return schedule(now_ + tick, Event::connected, i, number);
+    if (asked == SendPermission::now) return write_call(i, number);
+    calls_[number].outcome.result = TransmissionResult::not_sent;
     end_call(relays_[i], calls_[number]);
   }
 
@@ -350,40 +352,43 @@
     reached(relays_[i]);
     trace(i, "call " + std::to_string(number));
     const Outage* outage = outage_at(now_);
-    outcome.ending = Ending::answered;
+    outcome.result = TransmissionResult::answered;
     Millis took = scenario_.call_time;
     if (outage && odds(chance_, outage->failing_share)) took = fail(outcome, *outage);
     else if (!outage && scenario_.turns_away_excess && is_cold(now_) && !has_room())
-      outcome.ending = Ending::refused, took = refusal_time;
+      outcome.result = TransmissionResult::refused, took = refusal_time;
     tell_hints(outcome);
     for (auto [doc, transmission] : call.messages)
       if (auto held = relays_[i].held.find(doc); held != relays_[i].held.end())
-        held->second.may_have_run |= outcome.ending == Ending::timed_out;
+        held->second.may_have_run |= outcome.result == TransmissionResult::timed_out;
     call.sent = now_;
-    outcome.took = connecting + took;
+    outcome.duration = connecting + took;
     schedule(now_ + took, Event::outcome, i, number);
   }
 
   // Returns how long it takes until the relay knows.
   Millis fail(Outcome& outcome, const Outage& outage) {
     switch (outage.kind) {
-      case OutageKind::refuses_connections: outcome.ending = Ending::not_connected; return refusal_time;
-      case OutageKind::silent: outcome.ending = Ending::not_connected; return connect_within;
-      case OutageKind::hangs: outcome.ending = Ending::timed_out; return outcome.took;
-      case OutageKind::refuses_calls: outcome.ending = Ending::refused; return refusal_time;
-      case OutageKind::fails_most: outcome.ending = Ending::error; return scenario_.call_time;
-      case OutageKind::resets: outcome.ending = Ending::broken; return refusal_time;
+      case OutageKind::refuses_connections:
+        outcome.result = TransmissionResult::not_connected;
+        return refusal_time;
+      case OutageKind::silent: outcome.result = TransmissionResult::not_connected; return connect_within;
+      case OutageKind::hangs: outcome.result = TransmissionResult::timed_out; return outcome.duration;
+      case OutageKind::refuses_calls: outcome.result = TransmissionResult::refused; return refusal_time;
+      case OutageKind::fails_most: outcome.result = TransmissionResult::error; return scenario_.call_time;
+      case OutageKind::resets: outcome.result = TransmissionResult::connection_lost; return refusal_time;
     }
     return refusal_time;
   }
 
   void tell_hints(Outcome& outcome) {
-    bool in_answer = outcome.ending == Ending::answered || outcome.ending == Ending::refused ||
-                     outcome.ending == Ending::error;
+    bool in_answer = outcome.result == TransmissionResult::answered ||
+                     outcome.result == TransmissionResult::refused ||
+                     outcome.result == TransmissionResult::error;
     if (scenario_.limit_known != LimitKnown::reported || !in_answer) return;
-    outcome.hints.told = true;
-    outcome.hints.limit = scenario_.limit;
-    outcome.hints.left_share = 0.5;
+    outcome.hints.present = true;
+    outcome.hints.rate_limit = scenario_.limit;
+    outcome.hints.remaining_share = 0.5;
   }
 
   // What the destination takes now: its present capacity, and a queue of half a second of it.
@@ -442,7 +447,7 @@
   std::vector<Relay> relays_;
   std::priority_queue<Event> events_;
   std::vector<Call> calls_;
-  std::vector<Knowledge> learnt_;
+  std::vector<RouteStatus> learnt_;
   std::vector<Reached> reached_;
   Millis now_ = 0, queued_at_ = 0, end_ = 0;
   double queued_ = 0, wanted_ = 0, delivered_ = 0;
--- a/src/model/custody.cpp
+++ b/src/model/custody.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 using fleet::Custody;
-using fleet::Deed;
+using fleet::DocumentState;
+using fleet::GlobalDocId;
 using fleet::MemberId;
-using fleet::Papers;
 
 constexpr Millis lease = 2000, copy_within = 200, lifetime = 15000;
 constexpr Millis settled_within = 20000 + lifetime;
@@ -27,7 +27,7 @@
 constexpr int transmissions_most = 4;
 
 struct OnDisk {
-  Deed deed;
+  GlobalDocId deed;
   int doc = 0, transmissions = 0;
   bool binding = false, ended = false;
   Millis expiry = 0;  // true time, as a wall clock has it
@@ -36,7 +36,7 @@
 };
 
 struct Disk {
-  std::map<fleet::GroupId, fleet::GroupNote> notes;
+  std::map<fleet::GroupId, fleet::PersistentGroupState> notes;
   std::map<std::uint64_t, OnDisk> docs;
   std::set<fleet::Incarnation> lives;
   std::uint64_t highest = 0;
@@ -46,25 +46,25 @@
  public:
   std::unique_ptr<Custody> custody;
   Disk disk;
-  std::map<Deed, std::uint64_t> numbers;
+  std::map<GlobalDocId, std::uint64_t> numbers;
   std::set<std::uint64_t> owed, out;
   std::function<void(std::uint64_t)> on_work;
-  std::function<void(const Custody::Decided&)> on_decided;
+  std::function<void(const Custody::Actions&)> on_decided;
   bool begun = false;
 
   void begin(Millis now) override {
-    custody->begin(now);
+    custody->begin_turn(now);
     if (begun) return;
     begun = true;
     recover();
   }
   std::function<void()> recover;
   void member(const fleet::Membership::Change& change) override {
-    custody->member(change.member, change.life, change.condition);
+    custody->on_member_change(change.member, change.incarnation, change.state);
   }
-  void linked(MemberId peer, fleet::Incarnation, bool up) override { custody->linked(peer, up); }
+  void linked(MemberId peer, fleet::Incarnation, bool up) override { custody->on_link_change(peer, up); }
   void heard(MemberId from, const Payload& message) override {
-    if (const auto* papers = std::get_if<fleet::CustodyMessage>(&message)) custody->heard(from, *papers);
+    if (const auto* papers = std::get_if<fleet::CustodyMessage>(&message)) custody->on_message(from, *papers);
   }
   void work(std::uint64_t what) override { on_work(what); }
   Millis decide(Outbox& outbox) override {
@@ -113,14 +113,14 @@
                       mixed(world.seed(), 0x52, place, machine.boots));
     keeper->recover = [this, &world, place, raw, life = machine.life] {
       auto& custody = *raw->custody;
-      for (const auto& one : raw->disk.lives) custody.lived(one);
+      for (const auto& one : raw->disk.lives) custody.add_past_incarnation(one);
       raw->disk.lives.insert(life);
-      for (const auto& [group, note] : raw->disk.notes) custody.recover(note);
+      for (const auto& [group, note] : raw->disk.notes) custody.restore_group(note);
       for (const auto& [number, doc] : raw->disk.docs) {
         raw->numbers[doc.deed] = number;
-        custody.recovered(papers_of(world, doc), raw->disk.highest);
+        custody.restore_document(papers_of(world, doc), raw->disk.highest);
       }
-      custody.room(true);
+      custody.set_has_capacity(true);
     };
     raw->on_work = [this, &world, place](std::uint64_t what) { work(world, place, acts_[what]); };
     raw->on_decided = [this, &world, place](const auto& decided) { carry_out(world, place, decided); };
@@ -149,7 +149,7 @@
     for (int i = 0; i < world.machines(); ++i) {
       if (!world.running(i) || !keepers_[i]->begun) continue;
       auto& keeper = *keepers_[i];
-      keeper.custody->begin(world.local(i));
+      keeper.custody->begin_turn(world.local(i));
       for (const auto& [number, doc] : keeper.disk.docs)
         if (owns(keeper, doc)) {
           auto [at, fresh] = owner.try_emplace(doc.doc, i);
@@ -203,7 +203,7 @@
     enum Kind { hand_in, go_on, came_back } kind{};
     int place = 0, boots = 0, doc = 0;
     std::uint64_t number = 0;
-    Deed deed;
+    GlobalDocId deed;
     int transmission = 0, ending = 0;
   };
 
@@ -237,13 +237,14 @@
     return keeper.custody->owns(doc.deed);
   }
 
-  Papers papers_of(World& world, const OnDisk& doc) const {
-    Papers papers;
-    papers.deed = doc.deed, papers.record = std::to_string(doc.doc) + "/" + doc.end;
-    papers.left = doc.expiry - world.now();
-    papers.transmissions = doc.transmissions, papers.needs_proof = doc.binding, papers.ended = doc.ended;
-    papers.confirmed = docs_[doc.doc].ok;
-    for (const auto& [risk, at] : doc.risks) papers.risks.push_back({risk, world.now() - at, {}});
+  DocumentState papers_of(World& world, const OnDisk& doc) const {
+    DocumentState papers;
+    papers.id = doc.deed, papers.record = std::to_string(doc.doc) + "/" + doc.end;
+    papers.time_left = doc.expiry - world.now();
+    papers.transmission_count = doc.transmissions, papers.replicate_before_send = doc.binding,
+    papers.ended = doc.ended;
+    papers.acceptance_confirmed = docs_[doc.doc].ok;
+    for (const auto& [risk, at] : doc.risks) papers.in_doubt.push_back({risk, world.now() - at, {}});
     return papers;
   }
 
@@ -262,13 +263,13 @@
     OnDisk doc;
     doc.doc = number_of_doc, doc.binding = truth.binding, doc.expiry = truth.expiry;
     auto number = ++keeper.disk.highest;
-    doc.deed = keeper.custody->next_deed(number);
+    doc.deed = keeper.custody->next_document_id(number);
     keeper.numbers[doc.deed] = number, keeper.disk.docs[number] = doc, keeper.owed.insert(number);
     auto papers = papers_of(world, doc);
-    papers.confirmed = false;
-    keeper.custody->take(papers);
+    papers.acceptance_confirmed = false;
+    keeper.custody->accept(papers);
     if (order_.plant == "answered-early") answer(world, place, doc.deed, true);
-    if (keeper.custody->answered(doc.deed)) answer(world, place, doc.deed, true);
+    if (keeper.custody->is_accepted(doc.deed)) answer(world, place, doc.deed, true);
     soon(world, place, number);
   }
 
@@ -277,7 +278,7 @@
         {Act::go_on, place, world.machine(place).boots, 0, number, {}, 0, 0});
   }
 
-  void answer(World& world, int place, const Deed& deed, bool taken) {
+  void answer(World& world, int place, const GlobalDocId& deed, bool taken) {
     auto& keeper = *keepers_[place];
     auto found = keeper.numbers.find(deed);
     if (found == keeper.numbers.end()) return;
@@ -310,16 +311,17 @@
         doc.ended = true;
         doc.end =
             "abandoned by " + std::to_string(place) + " at " + std::to_string(static_cast<long>(world.now()));
-        keeper.custody->ended(doc.deed, std::to_string(doc.doc) + "/" + doc.end);
+        keeper.custody->record_ended(doc.deed, std::to_string(doc.doc) + "/" + doc.end);
       }
-      if (order_.plant == "told-early" || keeper.custody->may_tell(doc.deed)) tell(world, place, number);
+      if (order_.plant == "told-early" || keeper.custody->may_report_end(doc.deed))
+        tell(world, place, number);
       return;
     }
     int transmission = doc.transmissions++;
     doc.risks[transmission] = world.now();
     keeper.out.insert(number);
-    keeper.custody->risk(doc.deed, transmission, {});
-    if (order_.plant == "goes-early" || keeper.custody->may_go(doc.deed, transmission))
+    keeper.custody->record_transmission(doc.deed, transmission, {});
+    if (order_.plant == "goes-early" || keeper.custody->may_send(doc.deed, transmission))
       call(world, place, number, transmission);
   }
 
@@ -329,7 +331,7 @@
       if (i == place || !world.running(i) || !keepers_[i]->begun) continue;
       for (const auto& [number, doc] : keepers_[i]->disk.docs) {
         if (doc.doc != number_of_doc) continue;
-        keepers_[i]->custody->begin(world.local(i));
+        keepers_[i]->custody->begin_turn(world.local(i));
         if (owns(*keepers_[i], doc))
           world.broken("two-owners", "member %d %s document %d, for which member %d may act", place, doing,
                        number_of_doc, i);
@@ -366,12 +368,12 @@
     keeper.out.erase(number);
     auto& doc = keeper.disk.docs[number];
     if (back.ending == 1) {
-      keeper.custody->over(back.deed);
+      keeper.custody->remove(back.deed);
       keeper.drop(number);
       return;
     }
     if (back.ending == 0)
-      doc.risks.erase(back.transmission), keeper.custody->ran_not(back.deed, back.transmission);
+      doc.risks.erase(back.transmission), keeper.custody->record_never_ran(back.deed, back.transmission);
     soon(world, place, number);
   }
 
@@ -388,7 +390,7 @@
                    truth.told.c_str());
     truth.told = doc.end;
     ended(world, doc.doc);
-    keeper.custody->over(doc.deed);
+    keeper.custody->remove(doc.deed);
     keeper.drop(number);
   }
 
@@ -399,54 +401,54 @@
       samples_["ms from a kill to an owed document's end"].push_back(world.now() - truth.owner_died);
   }
 
-  void carry_out(World& world, int place, const Custody::Decided& decided) {
+  void carry_out(World& world, int place, const Custody::Actions& decided) {
     auto& keeper = *keepers_[place];
-    for (const auto& note : decided.notes) {
-      if (note.gone) keeper.disk.notes.erase(note.group);
+    for (const auto& note : decided.states_to_persist) {
+      if (note.deleted) keeper.disk.notes.erase(note.group);
       else keeper.disk.notes[note.group] = note;
     }
-    for (const auto& line : decided.log) world.note("member %d says: %s", place, line.c_str());
-    for (const auto& deed : decided.answerable) answer(world, place, deed, true);
-    for (const auto& deed : decided.not_taken) answer(world, place, deed, false);
-    for (const auto& [from, to] : decided.moved) {
+    for (const auto& line : decided.log_lines) world.note("member %d says: %s", place, line.c_str());
+    for (const auto& deed : decided.accepted) answer(world, place, deed, true);
+    for (const auto& deed : decided.not_accepted) answer(world, place, deed, false);
+    for (const auto& [from, to] : decided.renumbered) {
       auto found = keeper.numbers.find(from);
       if (found == keeper.numbers.end()) continue;
       auto number = found->second;
       keeper.numbers.erase(found), keeper.numbers[to] = number, keeper.disk.docs[number].deed = to;
     }
-    for (const auto& deed : decided.let_go) {
+    for (const auto& deed : decided.relinquished) {
       auto found = keeper.numbers.find(deed);
       if (found == keeper.numbers.end()) continue;
       world.note("member %d lets document %d go", place, keeper.disk.docs[found->second].doc);
       keeper.drop(found->second);
     }
-    for (const auto* list : {&decided.taken_over, &decided.regained})
+    for (const auto* list : {&decided.taken_over, &decided.resumed})
       for (const auto& papers : *list) gain(world, place, papers, list == &decided.taken_over);
-    for (const auto& [deed, transmission] : decided.may_go) {
+    for (const auto& [deed, transmission] : decided.cleared_transmissions) {
       auto found = keeper.numbers.find(deed);
       if (found != keeper.numbers.end()) call(world, place, found->second, transmission);
     }
-    for (const auto& deed : decided.may_tell) {
+    for (const auto& deed : decided.reportable_ends) {
       auto found = keeper.numbers.find(deed);
       if (found != keeper.numbers.end()) tell(world, place, found->second);
     }
   }
 
-  void gain(World& world, int place, const Papers& papers, bool taken_over) {
+  void gain(World& world, int place, const DocumentState& papers, bool taken_over) {
     auto& keeper = *keepers_[place];
     if (taken_over && order_.plant == "taken-over-lost") return;
-    if (!keeper.numbers.count(papers.deed)) keeper.numbers[papers.deed] = ++keeper.disk.highest;
-    auto number = keeper.numbers[papers.deed];
+    if (!keeper.numbers.count(papers.id)) keeper.numbers[papers.id] = ++keeper.disk.highest;
+    auto number = keeper.numbers[papers.id];
     auto& doc = keeper.disk.docs[number];
-    doc.deed = papers.deed, doc.doc = std::stoi(papers.record);
+    doc.deed = papers.id, doc.doc = std::stoi(papers.record);
     doc.end = papers.record.substr(papers.record.find('/') + 1), doc.ended = papers.ended;
-    doc.expiry = world.now() + papers.left, doc.binding = papers.needs_proof;
-    doc.transmissions = papers.transmissions, doc.risks.clear();
-    for (const auto& risk : papers.risks) doc.risks[risk.transmission] = world.now() - risk.ago;
+    doc.expiry = world.now() + papers.time_left, doc.binding = papers.replicate_before_send;
+    doc.transmissions = papers.transmission_count, doc.risks.clear();
+    for (const auto& risk : papers.in_doubt) doc.risks[risk.number] = world.now() - risk.age;
     keeper.owed.insert(number);
     const auto& truth = docs_[doc.doc];
     world.note("member %d %s document %d with %zu risks", place, taken_over ? "takes over" : "regains",
-               doc.doc, papers.risks.size());
+               doc.doc, papers.in_doubt.size());
     alone(world, place, doc.doc, taken_over ? "takes over" : "regains");
     if (taken_over && order_.samples && quiet_ && truth.owner_died >= 0)
       samples_["ms from a kill to a take-over"].push_back(world.now() - truth.owner_died);
--- a/src/model/fellow.h
+++ b/src/model/fellow.h
@@ -31,20 +31,21 @@
   Fellow(std::unique_ptr<fleet::Membership> membership, std::unique_ptr<Upper> upper)
       : membership_(std::move(membership)), upper_(std::move(upper)) {}
 
-  std::function<void(const fleet::Membership::Decided&)> on_decided;  // for the checks
+  std::function<void(const fleet::Membership::Actions&)> on_decided;  // for the checks
   fleet::Membership& membership() { return *membership_; }
   Upper* upper() { return upper_.get(); }
 
   void begin(Millis now) override {
-    membership_->begin(now);
+    membership_->begin_turn(now);
     if (upper_) upper_->begin(now);
   }
   void linked(fleet::MemberId peer, fleet::Incarnation life, bool up) override {
-    membership_->linked(peer, life, up);
+    membership_->on_link_change(peer, life, up);
     if (upper_) upper_->linked(peer, life, up);
   }
   void heard(fleet::MemberId from, const Payload& message) override {
-    if (const auto* beat = std::get_if<fleet::MembershipMessage>(&message)) membership_->heard(from, *beat);
+    if (const auto* beat = std::get_if<fleet::MembershipMessage>(&message))
+      membership_->on_message(from, *beat);
     else if (upper_) upper_->heard(from, message);
   }
   void work(std::uint64_t what) override {
@@ -55,7 +56,7 @@
     for (auto& send : decided.sends) outbox.emplace_back(send.to, std::move(send.message));
     if (upper_) {
       for (const auto& change : decided.changes) upper_->member(change);
-      if (decided.given_up_on) upper_->given_up_on();
+      if (decided.declared_dead) upper_->given_up_on();
       if (!decided.changes.empty() || !told_) told_ = true, upper_->alive(membership_->alive());
     }
     if (on_decided) on_decided(decided);
--- a/src/model/membership.cpp
+++ b/src/model/membership.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-using fleet::Condition;
 using fleet::Incarnation;
+using fleet::MemberState;
 
 constexpr Millis formed_within = 5000;    // from the last start until all hold all to be alive
 constexpr Millis settled_within = 20000;  // from the end of the last fault until all are right again
@@ -29,35 +29,38 @@
   Planted(std::unique_ptr<fleet::Membership> real, std::string plant, const fleet::Roster& roster,
           fleet::MemberId self)
       : real_(std::move(real)), plant_(std::move(plant)), first_(roster[0].id), self_(self) {}
-  void begin(Millis now) override {
+  void begin_turn(Millis now) override {
     if (since_ < 0) since_ = now;
     now_ = now;
-    real_->begin(now);
+    real_->begin_turn(now);
   }
-  void heard(fleet::MemberId from, const fleet::MembershipMessage& message) override {
-    real_->heard(from, message);
+  void on_message(fleet::MemberId from, const fleet::MembershipMessage& message) override {
+    real_->on_message(from, message);
   }
-  void linked(fleet::MemberId peer, Incarnation life, bool up) override { real_->linked(peer, life, up); }
-  Decided decide() override {
+  void on_link_change(fleet::MemberId peer, Incarnation life, bool up) override {
+    real_->on_link_change(peer, life, up);
+  }
+  Actions decide() override {
     auto decided = real_->decide();
     if (plant_ == "deaths-unseen")
-      std::erase_if(decided.changes, [](const auto& change) { return change.condition == Condition::dead; });
+      std::erase_if(decided.changes, [](const auto& change) { return change.state == MemberState::dead; });
     if (plant_ == "false-death" && !done_ && now_ - since_ > 6000 && self_ != first_)
-      done_ = true, decided.changes.push_back({first_, real_->life(first_), Condition::dead});
+      done_ = true, decided.changes.push_back({first_, real_->incarnation(first_), MemberState::dead});
     if (plant_ == "chatter" && !decided.sends.empty())
       for (int i = 0; i < 30; ++i) decided.sends.push_back(decided.sends[0]);
-    if (plant_ == "not-told") decided.given_up_on = false;
+    if (plant_ == "not-told") decided.declared_dead = false;
     if (plant_ == "old-life")
-      for (auto& change : decided.changes) change.life.number = std::min(change.life.number, oldest(change));
+      for (auto& change : decided.changes)
+        change.incarnation.number = std::min(change.incarnation.number, oldest(change));
     return decided;
   }
-  Condition condition(fleet::MemberId member) const override { return real_->condition(member); }
-  Incarnation life(fleet::MemberId member) const override { return real_->life(member); }
+  MemberState state(fleet::MemberId member) const override { return real_->state(member); }
+  Incarnation incarnation(fleet::MemberId member) const override { return real_->incarnation(member); }
   std::vector<fleet::MemberId> alive() const override { return real_->alive(); }
 
  private:
   std::uint64_t oldest(const Change& change) {
-    return lives_.emplace(change.member, change.life.number).first->second;
+    return lives_.emplace(change.member, change.incarnation.number).first->second;
   }
   std::unique_ptr<fleet::Membership> real_;
   std::string plant_;
@@ -91,7 +94,7 @@
     if (!order_.plant.empty())
       membership = std::make_unique<Planted>(std::move(membership), order_.plant, world.roster(), self);
     auto fellow = std::make_unique<Fellow>(std::move(membership), nullptr);
-    fellow->on_decided = [this, &world, place](const fleet::Membership::Decided& decided) {
+    fellow->on_decided = [this, &world, place](const fleet::Membership::Actions& decided) {
       seen(world, place, decided);
     };
     last_start_ = world.now();
@@ -117,7 +120,8 @@
         continue;
       for (int i = 0; i < world.machines(); ++i)
         if (world.running(i) && i != member && world.machine(i).booted < death.at &&
-            views_[i].held[member].condition != Condition::dead && views_[i].held[member].life <= death.life)
+            views_[i].held[member].condition != MemberState::dead &&
+            views_[i].held[member].life <= death.life)
           world.broken("death-found", "member %d ended at %.0f, and member %d holds it to be %s", member,
                        death.at, i, name(views_[i].held[member].condition));
     }
@@ -146,7 +150,7 @@
 
  private:
   struct Held {
-    Condition condition = Condition::unknown;
+    MemberState condition = MemberState::unknown;
     Incarnation life;
   };
   struct View {
@@ -159,12 +163,12 @@
     std::vector<Millis> known;
   };
 
-  static const char* name(Condition condition) {
+  static const char* name(MemberState condition) {
     switch (condition) {
-      case Condition::unknown: return "unknown";
-      case Condition::alive: return "alive";
-      case Condition::suspect: return "suspect";
-      case Condition::dead: return "dead";
+      case MemberState::unknown: return "unknown";
+      case MemberState::alive: return "alive";
+      case MemberState::suspect: return "suspect";
+      case MemberState::dead: return "dead";
     }
     return "?";
   }
@@ -172,31 +176,31 @@
   int held_dead_by(World& world, int place) {
     int count = 0, member = world.machine(place).member;
     for (int i = 0; i < world.machines(); ++i)
-      count += world.running(i) && i != place && views_[i].held[member].condition == Condition::dead &&
+      count += world.running(i) && i != place && views_[i].held[member].condition == MemberState::dead &&
                views_[i].held[member].life == world.machine(place).life && world.reaches(i, place);
     return count;
   }
 
-  void seen(World& world, int place, const fleet::Membership::Decided& decided) {
+  void seen(World& world, int place, const fleet::Membership::Actions& decided) {
     auto& view = views_[place];
     for (const auto& line : decided.log) world.note("member %d says: %s", place, line.c_str());
-    if (decided.given_up_on) {
+    if (decided.declared_dead) {
       view.told_given_up = true;
       world.note("member %d hears that it was given up on", place);
     }
     for (const auto& change : decided.changes) {
       int member = world.place_of(change.member);
-      view.held[member] = {change.condition, change.life};
-      world.note("member %d holds %d to be %s in life %llu", place, member, name(change.condition),
-                 static_cast<unsigned long long>(change.life.number));
-      if (change.condition != Condition::dead) continue;
+      view.held[member] = {change.state, change.incarnation};
+      world.note("member %d holds %d to be %s in life %llu", place, member, name(change.state),
+                 static_cast<unsigned long long>(change.incarnation.number));
+      if (change.state != MemberState::dead) continue;
       const auto& machine = world.machine(member);
       if (quiet_ || one_link_) {
-        if (machine.state != Machine::State::off && machine.life == change.life)
+        if (machine.state != Machine::State::off && machine.life == change.incarnation)
           world.broken("false-death", "member %d holds member %d to be dead, which runs, with %s", place,
                        member, one_link_ ? "one link broken" : "no link broken");
         auto death = died_.find(member);
-        if (death != died_.end() && death->second.life == change.life &&
+        if (death != died_.end() && death->second.life == change.incarnation &&
             world.machine(place).booted < death->second.at)
           death->second.known.push_back(world.now() - death->second.at),
               found_.push_back(world.now() - death->second.at);
@@ -219,15 +223,15 @@
         if (j == world.machine(i).member) continue;
         const auto& held = views_[i].held[j];
         bool runs = world.running(j);
-        auto says = fellow.membership().condition(world.roster()[j].id);
+        auto says = fellow.membership().state(world.roster()[j].id);
         if (says != held.condition)
           world.broken("told-changes", "member %d answers %s of %d, and told of %s last", i, name(says), j,
                        name(held.condition));
-        if (runs && (held.condition != Condition::alive || held.life != world.machine(j).life))
+        if (runs && (held.condition != MemberState::alive || held.life != world.machine(j).life))
           world.broken(check, "member %d holds member %d, which runs in life %llu, to be %s in life %llu", i,
                        j, static_cast<unsigned long long>(world.machine(j).life.number), name(held.condition),
                        static_cast<unsigned long long>(held.life.number));
-        if (!runs && held.condition != Condition::dead && held.condition != Condition::unknown)
+        if (!runs && held.condition != MemberState::dead && held.condition != MemberState::unknown)
           world.broken(check, "member %d holds member %d, which ended, to be %s", i, j, name(held.condition));
       }
     }
--- a/src/model/registers.cpp
+++ b/src/model/registers.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-using fleet::Matter;
 using fleet::MemberId;
-using fleet::Word;
+using fleet::RegisterKind;
+using fleet::RegisterRecord;
 
 constexpr Millis settled_within = 20000;
 constexpr Millis formed = 6000;             // a fleet that begins is not measured before
@@ -29,7 +29,7 @@
 struct Tell {
   Millis at = 0;
   int place = 0;
-  Matter matter{};
+  RegisterKind matter{};
   int subject = 0;
   Millis span = 0;
   RouteState state{};
@@ -38,7 +38,7 @@
 };
 
 struct Saved {
-  std::vector<Word> words;
+  std::vector<RegisterRecord> words;
   Millis at = 0;  // true time
 };
 
@@ -49,7 +49,7 @@
  public:
   struct Route {
     Millis own_end = 0, learned_end = 0;  // of a told wait, on this process's clock
-    RouteState state = RouteState::well;
+    RouteState state = RouteState::healthy;
     Millis seen_at = -1e12;
     double limit = 0;
     Millis met_at = -1e12;
@@ -60,50 +60,52 @@
 
   std::map<int, Route> routes;
   std::map<std::string, bool> outs;
-  std::vector<Word> restored;
+  std::vector<RegisterRecord> restored;
   Millis gone_for = -1;
   std::function<void(std::uint64_t)> on_work;
-  std::function<void(const fleet::Registers::Decided&)> on_decided;
+  std::function<void(const fleet::Registers::Actions&)> on_decided;
   fleet::Registers& registers() { return *registers_; }
   Millis now() const { return now_; }
 
   void begin(Millis now) override {
     now_ = now;
-    registers_->begin(now);
+    registers_->begin_turn(now);
     if (gone_for < 0) return;
     if (plant_ != "restart-forgets") registers_->restore(restored, gone_for);
     gone_for = -1;
   }
-  void alive(const std::vector<MemberId>& members) override { registers_->alive(members); }
-  void linked(MemberId peer, fleet::Incarnation, bool up) override { registers_->linked(peer, up); }
+  void alive(const std::vector<MemberId>& members) override { registers_->set_alive(members); }
+  void linked(MemberId peer, fleet::Incarnation, bool up) override { registers_->on_link_change(peer, up); }
   void heard(MemberId from, const Payload& message) override {
-    if (const auto* words = std::get_if<fleet::RegisterMessage>(&message)) registers_->heard(from, *words);
+    if (const auto* words = std::get_if<fleet::RegisterMessage>(&message))
+      registers_->on_message(from, *words);
   }
   void work(std::uint64_t what) override { on_work(what); }
   void tell(int subject) {
     const auto& route = routes[subject];
-    Knowledge own;
-    own.route = static_cast<std::uint64_t>(subject), own.apart = subject % 2;
-    own.told_left = std::max(0.0, std::max(route.own_end, route.learned_end) - now_);
+    RouteStatus own;
+    own.route = static_cast<std::uint64_t>(subject), own.per_endpoint = subject % 2;
+    own.retry_after_left = std::max(0.0, std::max(route.own_end, route.learned_end) - now_);
     own.state = route.state, own.state_age = now_ - route.seen_at;
-    own.rate_before = route.state == RouteState::well ? 0 : 5;
-    own.limit = route.limit, own.left_share = 0.5, own.limit_age = now_ - route.met_at;
-    registers_->tell(own);
+    own.rate_before_outage = route.state == RouteState::healthy ? 0 : 5;
+    own.rate_limit = route.limit, own.remaining_share = 0.5, own.limit_age = now_ - route.met_at;
+    registers_->publish(own);
   }
   Millis decide(Outbox& outbox) override {
     auto decided = registers_->decide();
-    if (plant_ == "news-lost" && place_ == 0) decided.learned.clear();
-    for (auto& known : decided.learned) {
-      if (plant_ == "wait-longer" && known.told_left > 0) known.told_left += 3000;
-      if (plant_ == "wait-shorter" && known.told_left > 0) known.told_left /= 2;
+    if (plant_ == "news-lost" && place_ == 0) decided.route_reports.clear();
+    for (auto& known : decided.route_reports) {
+      if (plant_ == "wait-longer" && known.retry_after_left > 0) known.retry_after_left += 3000;
+      if (plant_ == "wait-shorter" && known.retry_after_left > 0) known.retry_after_left /= 2;
       auto& route = routes[static_cast<int>(known.route)];
-      route.learned_end = known.told_left > 0 ? now_ + known.told_left : 0;
+      route.learned_end = known.retry_after_left > 0 ? now_ + known.retry_after_left : 0;
       if (now_ - known.state_age > route.seen_at)
         route.state = known.state, route.seen_at = now_ - known.state_age;
-      if (known.limit > 0 && now_ - known.limit_age > route.met_at)
-        route.limit = known.limit, route.met_at = now_ - known.limit_age;
+      if (known.rate_limit > 0 && now_ - known.limit_age > route.met_at)
+        route.limit = known.rate_limit, route.met_at = now_ - known.limit_age;
     }
-    for (const auto& order : decided.outs) outs[order.endpoint] = order.out != (plant_ == "order-turned");
+    for (const auto& order : decided.offline_orders)
+      outs[order.endpoint] = order.offline != (plant_ == "order-turned");
     if (plant_ == "register-chatter" && !decided.sends.empty())
       for (int i = 0; i < 300; ++i) decided.sends.push_back(decided.sends[0]);
     on_decided(decided);
@@ -113,9 +115,9 @@
   bool caught_up() const {
     return plant_ == "never-caught-up" ? false : plant_ == "caught-up-early" || registers_->caught_up();
   }
-  std::vector<Word> all() const {
-    auto words = registers_->all();
-    if (plant_ == "copies-differ" && place_ == 0 && !words.empty()) words.back().version.count += 1;
+  std::vector<RegisterRecord> all() const {
+    auto words = registers_->all_records();
+    if (plant_ == "copies-differ" && place_ == 0 && !words.empty()) words.back().version.counter += 1;
     return words;
   }
 
@@ -150,11 +152,11 @@
       Tell tell;
       tell.at = at, tell.place = chance.below(shape.members);
       auto drawn = chance.share();
-      tell.matter = drawn < 0.5    ? Matter::wait
-                    : drawn < 0.75 ? Matter::outage
-                    : drawn < 0.9  ? Matter::out
-                                   : Matter::limit;
-      tell.subject = chance.below(tell.matter == Matter::out ? endpoints : subjects);
+      tell.matter = drawn < 0.5    ? RegisterKind::retry_after
+                    : drawn < 0.75 ? RegisterKind::outage
+                    : drawn < 0.9  ? RegisterKind::offline
+                                   : RegisterKind::rate_limit;
+      tell.subject = chance.below(tell.matter == RegisterKind::offline ? endpoints : subjects);
       auto& free = free_from[{static_cast<int>(tell.matter), tell.subject}];
       if (at < free) continue;
       free = at + apart;
@@ -179,8 +181,8 @@
     if (const auto* saved = std::any_cast<Saved>(&folder)) {
       sharer->restored = saved->words, sharer->gone_for = world.now() - saved->at;
       for (const auto& word : saved->words)
-        if (word.matter == Matter::wait) {
-          auto end = saved->at + (word.span - word.age) / machine.rate;
+        if (word.kind == RegisterKind::retry_after) {
+          auto end = saved->at + (word.duration - word.age) / machine.rate;
           auto& kept = view.kept[subject_of(word)];
           kept = std::max(kept, end);
         }
@@ -205,7 +207,7 @@
   }
 
   std::any folder(World& world, int place) override {
-    return Saved{views_[place].sharer->registers().all(),
+    return Saved{views_[place].sharer->registers().all_records(),
                  last_turn_[place] > 0 ? last_turn_[place] : world.now()};
   }
   void killed(World&, int place) override { views_[place].sharer = nullptr; }
@@ -311,8 +313,8 @@
     std::set<std::size_t> over;  // earlier ones that it goes over, as its giver held them
   };
 
-  static int subject_of(const Word& word) {
-    return static_cast<int>(std::stoull(word.subject.substr(1), nullptr, 16));
+  static int subject_of(const RegisterRecord& word) {
+    return static_cast<int>(std::stoull(word.name.substr(1), nullptr, 16));
   }
   std::string kind(const World& world) const {
     const auto& shape = world.shape();
@@ -369,7 +371,7 @@
       std::snprintf(name, sizeof name, format, values...);
     };
     switch (tell.matter) {
-      case Matter::wait: {
+      case RegisterKind::retry_after: {
         news.end = world.now() + tell.span / world.machine(place).rate;
         bool later = news.end > truth_end(tell.subject) + 2 * slack(news.end, world.now());
         waits_[tell.subject].push_back({world.now(), news.end, place});
@@ -380,26 +382,26 @@
         news.until = news.end - 50;
         break;
       }
-      case Matter::outage:
+      case RegisterKind::outage:
         called("state %d of %d", static_cast<int>(tell.state), tell.subject);
         if (route.state == tell.state) return;
         route.state = tell.state, route.seen_at = sharer.now();
         sharer.tell(tell.subject);
         news.until = next_of(tell);
         break;
-      case Matter::limit:
+      case RegisterKind::rate_limit:
         called("a limit of %.0f on %d", tell.limit, tell.subject);
         route.limit = tell.limit, route.met_at = sharer.now();
         sharer.tell(tell.subject);
         news.at = -1;
         break;
-      case Matter::out: {
+      case RegisterKind::offline: {
         auto endpoint = subject_name(tell.subject);
         called("order %s of %s", tell.out ? "out" : "back", endpoint.c_str());
         bool new_here = sharer.outs.find(endpoint) == sharer.outs.end() || sharer.outs[endpoint] != tell.out;
         auto before = version_of(sharer, endpoint);
         sharer.outs[endpoint] = tell.out;
-        sharer.registers().tell_out(endpoint, tell.out);
+        sharer.registers().publish_offline(endpoint, tell.out);
         auto after = version_of(sharer, endpoint);
         if (after != before || !new_here) {
           Given given{world.now(), place, tell.out, {}};
@@ -437,21 +439,22 @@
 
   using Held = std::tuple<std::string, fleet::Version, fleet::Incarnation>;
   static Held version_of(Sharer& sharer, const std::string& endpoint) {
-    for (const auto& word : sharer.registers().all())
-      if (word.matter == Matter::out && word.subject == endpoint) return {endpoint, word.version, word.life};
+    for (const auto& word : sharer.registers().all_records())
+      if (word.kind == RegisterKind::offline && word.name == endpoint)
+        return {endpoint, word.version, word.incarnation};
     return {endpoint, {}, {}};
   }
 
-  void seen(World& world, int place, const fleet::Registers::Decided& decided) {
+  void seen(World& world, int place, const fleet::Registers::Actions& decided) {
     auto& view = views_[place];
     auto& sharer = *view.sharer;
     last_turn_[place] = world.now();
     for (const auto& line : decided.log) world.note("member %d says: %s", place, line.c_str());
-    for (const auto& line : decided.differing) {
+    for (const auto& line : decided.conflicts) {
       world.note("member %d names as differing: %s", place, line.c_str());
       if (quiet_) world.broken("differing", "member %d: %s", place, line.c_str());
     }
-    for (const auto& known : decided.learned) {
+    for (const auto& known : decided.route_reports) {
       int subject = static_cast<int>(known.route);
       if (sharer.routes[subject].learned_end <= 0) continue;
       auto end =
@@ -477,18 +480,19 @@
     for (auto& news : open_) {
       if (!news.owed.count(place)) continue;
       const auto& tell = news.tell;
-      bool knows = tell.matter == Matter::wait
+      bool knows = tell.matter == RegisterKind::retry_after
                        ? known_end(world, place, tell.subject) >= news.end - slack(news.end, news.at)
-                   : tell.matter == Matter::outage ? sharer.routes[tell.subject].state == tell.state
-                                                   : sharer.outs.count(subject_name(tell.subject)) &&
-                                                         sharer.outs[subject_name(tell.subject)] == tell.out;
+                   : tell.matter == RegisterKind::outage
+                       ? sharer.routes[tell.subject].state == tell.state
+                       : sharer.outs.count(subject_name(tell.subject)) &&
+                             sharer.outs[subject_name(tell.subject)] == tell.out;
       if (!knows) continue;
       news.owed.erase(place);
       if (order_.samples)
-        samples_[tell.matter == Matter::wait ? "ms until a told wait is known"
-                                             : "ms until other news is known"]
+        samples_[tell.matter == RegisterKind::retry_after ? "ms until a told wait is known"
+                                                          : "ms until other news is known"]
             .push_back(world.now() - news.at);
-      if (news.owed.empty() && order_.samples && tell.matter == Matter::wait)
+      if (news.owed.empty() && order_.samples && tell.matter == RegisterKind::retry_after)
         samples_["ms until a told wait is known by all"].push_back(world.now() - news.at);
       if (quiet_ && world.now() > news.at + spread_bound(world))
         world.broken("spread", "member %d learns after %.0f ms of %s, told to member %d", place,
@@ -506,18 +510,18 @@
 
   // What a copy holds that must be alike everywhere, as lines; true: it ends so soon that another may have
   // forgotten it.
-  static std::map<std::string, bool> told(const std::vector<Word>& words) {
+  static std::map<std::string, bool> told(const std::vector<RegisterRecord>& words) {
     std::map<std::string, bool> lines;
     for (const auto& word : words) {
       char line[240];
       std::snprintf(line, sizeof line,
                     "matter %d of %s version %llu of %016llx: span %.3f state %d limit %.3f out %d",
-                    static_cast<int>(word.matter), word.subject.c_str(),
-                    static_cast<unsigned long long>(word.version.count),
-                    static_cast<unsigned long long>(word.version.origin), word.span,
-                    static_cast<int>(word.state), word.limit, word.out);
-      lines[line] = (word.matter == Matter::wait && word.span - word.age < 500) ||
-                    (word.matter == Matter::limit && word.age > 50000);
+                    static_cast<int>(word.kind), word.name.c_str(),
+                    static_cast<unsigned long long>(word.version.counter),
+                    static_cast<unsigned long long>(word.version.origin), word.duration,
+                    static_cast<int>(word.state), word.rate_limit, word.offline);
+      lines[line] = (word.kind == RegisterKind::retry_after && word.duration - word.age < 500) ||
+                    (word.kind == RegisterKind::rate_limit && word.age > 50000);
     }
     return lines;
   }
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -52,12 +52,12 @@
   for (int i = 0; i < n; ++i) {
     std::string name = "m", hall = "h";
     name += std::to_string(i), hall += std::to_string(chance.below(shape_.halls));
-    roster_.push_back({fleet::MemberId{hash_of(name)}, name, hall});
+    roster_.push_back({fleet::MemberId{fnv1a_hash(name)}, name, hall});
   }
   std::sort(roster_.begin(), roster_.end(), [](const auto& a, const auto& b) { return a.id < b.id; });
   for (int i = 0; i < n; ++i) {
     places_[roster_[i].id] = i;
-    hall_.push_back(std::stoi(roster_[i].hall.substr(1)));
+    hall_.push_back(std::stoi(roster_[i].zone.substr(1)));
   }
   int twins = 0;
   for (const auto& fault : faults_) twins += fault.kind == Fault::Kind::twin;
--- a/src/peer/custody.cpp
+++ b/src/peer/custody.cpp
@@ -19,11 +19,11 @@
 
 using fleet::Custody;
 using fleet::CustodyMessage;
-using fleet::Deed;
-using fleet::GroupNote;
+using fleet::DocumentState;
+using fleet::GlobalDocId;
 using fleet::Incarnation;
 using fleet::MemberId;
-using fleet::Papers;
+using fleet::PersistentGroupState;
 
 constexpr std::size_t lives_most = 64;         // that the folder tells of
 constexpr std::size_t room_bytes = 64 * 1024;  // less than that left: another takes over first
@@ -47,33 +47,35 @@
   void start() override {
     begin();
     std::vector<Incarnation> lives;
-    for (const auto& [name, text] : store_.notes()) try {
+    for (const auto& [name, text] : store_.metadata()) try {
         if (name == lives_note) lives = unpacked<std::vector<Incarnation>>(text);
-        else if (name.starts_with(group_note)) custody_->recover(unpacked<GroupNote>(text));
+        else if (name.starts_with(group_note)) custody_->restore_group(unpacked<PersistentGroupState>(text));
       } catch (const fleet::FleetError& error) {
         log_line("documents: %s", fleet::BadStateFile("a note cannot be read", name, error.what()).what());
       }
-    for (const auto& life : lives) custody_->lived(life);
+    for (const auto& life : lives) custody_->add_past_incarnation(life);
     lives.push_back(place_.own);
     if (lives.size() > lives_most) lives.erase(lives.begin());
-    store_.set_note(lives_note, packed(lives));
+    store_.set_metadata(lives_note, packed(lives));
     store_.flush();
-    before_ = store_.last();
-    for (const auto& [doc, held] : store_.held()) known(doc);
+    before_ = store_.last_doc_number();
+    for (const auto& [doc, held] : store_.documents()) known(doc);
     soon();
   }
 
   void heard(MemberId from, std::string_view payload) override {
     auto message = unpacked<CustodyMessage>(payload);
     begin();
-    custody_->heard(from, message);
+    custody_->on_message(from, message);
     soon();
   }
-  void linked(MemberId peer, Incarnation, bool up) override { begin(), custody_->linked(peer, up), soon(); }
-  void member(MemberId member, Incarnation life, fleet::Condition condition) override {
+  void linked(MemberId peer, Incarnation, bool up) override {
+    begin(), custody_->on_link_change(peer, up), soon();
+  }
+  void member(MemberId member, Incarnation life, fleet::MemberState condition) override {
     begin();
-    custody_->member(member, life, condition);
-    custody_->room(around_.decision.has_room() && store_.has_room(room_bytes));
+    custody_->on_member_change(member, life, condition);
+    custody_->set_has_capacity(around_.decision.has_capacity() && store_.has_room(room_bytes));
     soon();
   }
   void given_up_on() override { soon(); }
@@ -83,56 +85,56 @@
   void before_turn() override {
     begin();
     bool held = !custody_->holds_lease();
-    if (held == held_ || (!held && !store_.alone())) return;
+    if (held == held_ || (!held && !store_.is_sole_process())) return;
     held_ = held;
-    around_.decision.hold(held);
+    around_.decision.pause_sending(held);
   }
 
   void noted(char kind, DocId doc, int transmission) override {
     if (quiet_) return;
     begin();
     if (kind == 'D') {
-      Deed deed = custody_->next_deed(static_cast<std::uint64_t>(doc));
+      GlobalDocId deed = custody_->next_document_id(static_cast<std::uint64_t>(doc));
       note(doc, deed);
-      return custody_->take(papers(doc, deed)), soon();
+      return custody_->accept(papers(doc, deed)), soon();
     }
     auto found = deeds_.find(doc);
     if (found == deeds_.end()) return;
-    Deed deed = found->second;
-    const Held& held = store_.held().at(doc);
-    if (kind == 'S') custody_->risk(deed, transmission, held.unproven.back().hall);
-    if (kind == 'N') custody_->ran_not(deed, transmission);
-    if (kind == 'E') custody_->ended(deed, Store::whole(held));
-    if (kind == 'F') forget(doc), custody_->over(deed);
+    GlobalDocId deed = found->second;
+    const StoredDocument& held = store_.documents().at(doc);
+    if (kind == 'S') custody_->record_transmission(deed, transmission, held.in_doubt.back().zone);
+    if (kind == 'N') custody_->record_never_ran(deed, transmission);
+    if (kind == 'E') custody_->record_ended(deed, Store::encode(held));
+    if (kind == 'F') forget(doc), custody_->remove(deed);
     soon();
   }
 
   bool may_answer(DocId doc) override {
-    return ask(doc, [&](const Deed& deed) { return custody_->answered(deed); });
+    return ask(doc, [&](const GlobalDocId& deed) { return custody_->is_accepted(deed); });
   }
   bool owns(DocId doc) override {
-    return ask(doc, [&](const Deed& deed) { return custody_->owns(deed); });
+    return ask(doc, [&](const GlobalDocId& deed) { return custody_->owns(deed); });
   }
   bool may_go(DocId doc, int transmission) override {
-    return ask(doc, [&](const Deed& deed) { return custody_->may_go(deed, transmission); });
+    return ask(doc, [&](const GlobalDocId& deed) { return custody_->may_send(deed, transmission); });
   }
   bool may_tell(DocId doc) override {
-    if (ask(doc, [&](const Deed& deed) { return custody_->may_tell(deed); })) return true;
+    if (ask(doc, [&](const GlobalDocId& deed) { return custody_->may_report_end(deed); })) return true;
     untold_.insert(doc);
     return false;
   }
 
   std::string figures() const override {
-    auto count = custody_->count();
+    auto count = custody_->statistics();
     char line[110];
     std::snprintf(line, sizeof line, "documents: %zu own, %zu copies (%zu bytes), %zu groups taken over",
-                  count.own, count.copies, count.bytes, count.takeovers);
+                  count.owned_documents, count.replicated_documents, count.replicated_bytes, count.takeovers);
     return line;
   }
 
  private:
   // At the moment itself: a process that was stopped finds here that its lease is over.
-  void begin() { custody_->begin(Loop::monotonic()); }
+  void begin() { custody_->begin_turn(EventLoop::monotonic_time()); }
   // In the next round: what was noted in this one is flushed by then.
   void soon() { due_.set(around_.loop.now()); }
 
@@ -147,118 +149,119 @@
 
   // A document found in a folder, its own or that of a process that ended later.
   void known(DocId doc) {
-    auto held = store_.held().find(doc);
-    if (deeds_.count(doc) || held == store_.held().end() || !held->second.noted) return;
+    auto held = store_.documents().find(doc);
+    if (deeds_.count(doc) || held == store_.documents().end() || !held->second.journaled) return;
     begin();
-    Deed deed = custody_->next_deed(static_cast<std::uint64_t>(doc));
-    if (!held->second.deed.empty()) try {
-        deed = unpacked<Deed>(held->second.deed);
+    GlobalDocId deed = custody_->next_document_id(static_cast<std::uint64_t>(doc));
+    if (!held->second.fleet_id.empty()) try {
+        deed = unpacked<GlobalDocId>(held->second.fleet_id);
       } catch (const fleet::FleetError&) {
         log_line("documents: %s", fleet::BadStateFile("a deed cannot be read", held->second.id,
                                                       "its document is this relay's own from now on")
                                       .what());
       }
     note(doc, deed);
-    custody_->recovered(papers(doc, deed), before_);
+    custody_->restore_document(papers(doc, deed), before_);
     soon();
   }
-  void note(DocId doc, const Deed& deed) {
+  void note(DocId doc, const GlobalDocId& deed) {
     if (auto before = deeds_.find(doc); before != deeds_.end()) docs_.erase(before->second);
     deeds_[doc] = deed, docs_[deed] = doc;
-    store_.set_deed(doc, packed(deed));
+    store_.set_fleet_id(doc, packed(deed));
   }
   void forget(DocId doc) {
     if (auto found = deeds_.find(doc); found != deeds_.end()) docs_.erase(found->second), deeds_.erase(found);
   }
-  Papers papers(DocId doc, const Deed& deed) const {
-    const Held& held = store_.held().at(doc);
-    auto wall = Loop::wall();
-    Papers papers;
-    papers.deed = deed, papers.record = Store::whole(held), papers.left = held.expiry - wall;
-    papers.transmissions = held.transmissions, papers.ended = held.ended;
-    papers.needs_proof = held.type.repeat != Repeat::replayable;
-    for (const auto& sent : held.unproven)
-      papers.risks.push_back({sent.transmission, std::max(0.0, wall - sent.at), sent.hall});
+  DocumentState papers(DocId doc, const GlobalDocId& deed) const {
+    const StoredDocument& held = store_.documents().at(doc);
+    auto wall = EventLoop::wall_time();
+    DocumentState papers;
+    papers.id = deed, papers.record = Store::encode(held), papers.time_left = held.expiry - wall;
+    papers.transmission_count = held.transmissions, papers.ended = held.ended;
+    papers.replicate_before_send = held.type.retry_safety != RetrySafety::idempotent;
+    for (const auto& sent : held.in_doubt)
+      papers.in_doubt.push_back({sent.number, std::max(0.0, wall - sent.sent_at), sent.zone});
     return papers;
   }
 
   void turn() {
     begin();
     auto decided = custody_->decide();
-    for (const auto& note : decided.notes) {
+    for (const auto& note : decided.states_to_persist) {
       auto name = group_note + packed(note.group);
-      store_.set_note(name, note.gone ? "" : packed(note));
+      store_.set_metadata(name, note.deleted ? "" : packed(note));
     }
-    for (const auto& [from, to] : decided.moved)
+    for (const auto& [from, to] : decided.renumbered)
       if (auto found = docs_.find(from); found != docs_.end()) note(DocId(found->second), to);
     std::vector<DocId> owed;
     for (const auto& papers : decided.taken_over) owed.push_back(add(papers));
-    for (const auto& papers : decided.regained)
-      if (auto found = docs_.find(papers.deed); found != docs_.end()) {
+    for (const auto& papers : decided.resumed)
+      if (auto found = docs_.find(papers.id); found != docs_.end()) {
         add_risks(found->second, papers);
         owed.push_back(found->second);
       }
     // Guards against a vote, or a change of holders, that a restart would not remember.
-    if (!decided.notes.empty() || !owed.empty() || !kept_) kept_ = store_.flush();
+    if (!decided.states_to_persist.empty() || !owed.empty() || !kept_) kept_ = store_.flush();
     if (kept_)
       for (const auto& send : decided.sends)
         place_.link.send(send.to, Channel::custody, packed(send.message));
-    each(decided.answerable, [this](DocId doc) { around_.answer(doc, true); });
-    each(decided.not_taken, [this](DocId doc) { around_.answer(doc, false); });
-    each(decided.let_go, [this](DocId doc) {
+    each(decided.accepted, [this](DocId doc) { around_.answer(doc, true); });
+    each(decided.not_accepted, [this](DocId doc) { around_.answer(doc, false); });
+    each(decided.relinquished, [this](DocId doc) {
       forget(doc);
       around_.let_go(doc);
     });
     each(decided.suspended, [this](DocId doc) { around_.decision.withdraw(doc); });
     for (DocId doc : owed)
-      if (auto held = store_.held().find(doc); held != store_.held().end()) {
+      if (auto held = store_.documents().find(doc); held != store_.documents().end()) {
         if (held->second.ended) untold_.insert(doc);
         else around_.owe(doc);
       }
     for (DocId doc : std::exchange(untold_, {}))
-      if (store_.held().count(doc) && may_tell(doc)) around_.owe(doc);
-    if (!decided.may_go.empty()) around_.begin();  // the relay asks again for each call that it keeps back
-    for (const auto& line : decided.log) say(line);
+      if (store_.documents().count(doc) && may_tell(doc)) around_.owe(doc);
+    if (!decided.cleared_transmissions.empty())
+      around_.begin();  // the relay asks again for each call that it keeps back
+    for (const auto& line : decided.log_lines) say(line);
     if (held_ != !custody_->holds_lease()) around_.begin();
-    if (decided.wake_in >= 0) due_.set(Loop::monotonic() + decided.wake_in);
+    if (decided.wake_in >= 0) due_.set(EventLoop::monotonic_time() + decided.wake_in);
   }
   template <typename Do>
-  void each(const std::vector<Deed>& deeds, Do what) {
+  void each(const std::vector<GlobalDocId>& deeds, Do what) {
     for (const auto& deed : deeds)
       if (auto found = docs_.find(deed); found != docs_.end()) what(DocId(found->second));
   }
 
   // A document of another, this relay's from now on: it is owed even where the store has no room for it, by
   // this process and the copies.
-  DocId add(const Papers& papers) {
-    if (auto found = docs_.find(papers.deed); found != docs_.end()) return found->second;
-    Held held;
+  DocId add(const DocumentState& papers) {
+    if (auto found = docs_.find(papers.id); found != docs_.end()) return found->second;
+    StoredDocument held;
     try {
-      held = Store::read(papers.record);
+      held = Store::decode(papers.record);
     } catch (const std::exception& error) {
       log_line("documents: a copy cannot be read: %s", error.what());
       return {};
     }
-    auto wall = Loop::wall();
-    held.expiry = wall + papers.left, held.transmissions = papers.transmissions;
-    held.unproven.clear();
-    for (const auto& risk : papers.risks)
-      held.unproven.push_back({risk.transmission, wall - risk.ago, risk.hall});
-    std::ranges::sort(held.unproven, {}, &Held::Sent::at);
+    auto wall = EventLoop::wall_time();
+    held.expiry = wall + papers.time_left, held.transmissions = papers.transmission_count;
+    held.in_doubt.clear();
+    for (const auto& risk : papers.in_doubt)
+      held.in_doubt.push_back({risk.number, wall - risk.age, risk.zone});
+    std::ranges::sort(held.in_doubt, {}, &StoredDocument::Transmission::sent_at);
     auto doc = store_.add(std::move(held));
     quiet_ = true;
-    store_.taken(doc), note(doc, papers.deed);
+    store_.record_accepted(doc), note(doc, papers.id);
     quiet_ = false;
     return doc;
   }
-  void add_risks(DocId doc, const Papers& papers) {
-    const Held& held = store_.held().at(doc);
-    auto wall = Loop::wall();
+  void add_risks(DocId doc, const DocumentState& papers) {
+    const StoredDocument& held = store_.documents().at(doc);
+    auto wall = EventLoop::wall_time();
     quiet_ = true;
-    for (const auto& risk : papers.risks)
-      if (std::ranges::find(held.unproven, risk.transmission, &Held::Sent::transmission) ==
-          held.unproven.end())
-        store_.sent(doc, risk.transmission, wall - risk.ago, risk.hall);
+    for (const auto& risk : papers.in_doubt)
+      if (std::ranges::find(held.in_doubt, risk.number, &StoredDocument::Transmission::number) ==
+          held.in_doubt.end())
+        store_.record_transmission(doc, risk.number, wall - risk.age, risk.zone);
     quiet_ = false;
   }
 
@@ -274,8 +277,8 @@
   Store& store_;
   std::unique_ptr<Custody> custody_;
   Timer due_;
-  std::map<DocId, Deed> deeds_;
-  std::map<Deed, DocId> docs_;
+  std::map<DocId, GlobalDocId> deeds_;
+  std::map<GlobalDocId, DocId> docs_;
   std::set<DocId> untold_;    // ended, and no copy has that yet
   std::uint64_t before_ = 0;  // the highest number given before this start
   bool quiet_ = false;        // what is noted now is known to the module
--- a/src/peer/fleet.cpp
+++ b/src/peer/fleet.cpp
@@ -35,7 +35,7 @@
   std::uint64_t last = 0;
   std::ifstream(path) >> last;
   Incarnation life;
-  life.number = std::max(last + 1, static_cast<std::uint64_t>(Loop::wall()));
+  life.number = std::max(last + 1, static_cast<std::uint64_t>(EventLoop::wall_time()));
   auto ticks = std::chrono::steady_clock::now().time_since_epoch().count();
   life.nonce = seed ^ (static_cast<std::uint64_t>(ticks) * 0x9e3779b97f4a7c15ULL) ^
                static_cast<std::uint64_t>(::getpid());
@@ -59,7 +59,7 @@
       hear(from, channel, payload);
     };
     link.on_peer = [this](MemberId peer, Incarnation life, bool up) {
-      membership->begin(loop.now()), membership->linked(peer, life, up);
+      membership->begin_turn(loop.now()), membership->on_link_change(peer, life, up);
       each([&](Part& part) { part.linked(peer, life, up); });
       soon();
     };
@@ -75,8 +75,8 @@
   void hear(MemberId from, Channel channel, std::string_view payload) {
     try {
       if (channel == Channel::membership) {
-        membership->begin(loop.now());
-        membership->heard(from, unpacked<fleet::MembershipMessage>(payload));
+        membership->begin_turn(loop.now());
+        membership->on_message(from, unpacked<fleet::MembershipMessage>(payload));
         return soon();
       }
       for (auto& [own_channel, part] : parts)
@@ -91,23 +91,24 @@
   void name_twin(MemberId member, Incarnation other) {
     auto known = std::ranges::find(config.roster, member, &fleet::Member::id);
     auto name = known == config.roster.end() ? std::string("unknown") : known->name;
-    fleet::TwinMember error("two processes say that they are this member", name,
-                            "stop one of the two, or give it a name and an entry of its own; then start the "
-                            "other anew");
+    fleet::DuplicateMember error(
+        "two processes say that they are this member", name,
+        "stop one of the two, or give it a name and an entry of its own; then start the "
+        "other anew");
     log_line("fleet: %s; lives %llu and %llu", error.what(), static_cast<unsigned long long>(other.number),
-             static_cast<unsigned long long>(membership->life(member).number));
+             static_cast<unsigned long long>(membership->incarnation(member).number));
     if (member == config.self && other.number > own.number) note_life(folder, other.number);
   }
 
   void turn() {
-    membership->begin(loop.now());
+    membership->begin_turn(loop.now());
     auto decided = membership->decide();
     for (const auto& send : decided.sends) link.send(send.to, Channel::membership, packed(send.message));
     for (const auto& line : decided.log) log_line("fleet: %s", line.c_str());
     for (const auto& change : decided.changes)
-      each([&](Part& part) { part.member(change.member, change.life, change.condition); });
-    for (const auto& twin : decided.twins) name_twin(twin.member, twin.life);
-    if (decided.given_up_on) each([](Part& part) { part.given_up_on(); });
+      each([&](Part& part) { part.member(change.member, change.incarnation, change.state); });
+    for (const auto& twin : decided.duplicates) name_twin(twin.member, twin.incarnation);
+    if (decided.declared_dead) each([](Part& part) { part.given_up_on(); });
     if (decided.wake_in >= 0) due.set(loop.now() + decided.wake_in);
   }
 
@@ -123,7 +124,7 @@
   const FleetConfig config;
   const std::string folder;
   const Incarnation own;
-  Loop& loop;
+  EventLoop& loop;
   Link link;
   const std::unique_ptr<fleet::Membership> membership;
   Timer due;
@@ -145,7 +146,7 @@
 void Fleet::before_turn() {
   parts_->each([](Part& part) { part.before_turn(); });
 }
-void Fleet::after_turn(const Decided& decided) {
+void Fleet::after_turn(const Actions& decided) {
   parts_->each([&](Part& part) { part.after_turn(decided); });
 }
 void Fleet::noted(char kind, DocId doc, int transmission) {
--- a/src/peer/fleet.h
+++ b/src/peer/fleet.h
@@ -23,7 +23,7 @@
 
   void start();  // once the relay has told the decision module of its list
   void before_turn();
-  void after_turn(const Decided& decided);
+  void after_turn(const Actions& decided);
   void noted(char kind, DocId doc, int transmission);
   void outcome(const Outcome& outcome);
   void told_out(const std::string& endpoint, bool out);
--- a/src/peer/fleet_config.cpp
+++ b/src/peer/fleet_config.cpp
@@ -63,7 +63,7 @@
   std::string text(const std::string& key) {
     const auto& node = need(key, {toml::node_type::string});
     auto value = node.as_string()->get();
-    if (value.empty() || value.size() > name_most || !printable(value))
+    if (value.empty() || value.size() > name_most || !is_printable(value))
       fail(key, "the text is empty, too long, or holds spaces or bytes beyond ASCII",
            "give 1 to " + std::to_string(name_most) + " printable ASCII characters without spaces");
     return value;
@@ -153,10 +153,10 @@
               "give each relay of the fleet one [[member]], " + std::to_string(members_most) + " at most");
   for (auto& entry : members) {
     fleet::Member member{{}, entry.text("name"), entry.text("hall")};
-    member.id = fleet::MemberId(hash_of(member.name));
+    member.id = fleet::MemberId(fnv1a_hash(member.name));
     Address at;
     try {
-      at = address_of(entry.text("at"));
+      at = parse_address(entry.text("at"));
     } catch (const BadFleetFile&) { throw; } catch (const std::exception& error) {
       entry.fail("at", error.what(), "give an IPv4 address and a port, as 10.0.0.1:7946");
     }
@@ -171,7 +171,7 @@
   std::sort(config.roster.begin(), config.roster.end(),
             [](const auto& one, const auto& other) { return one.id < other.id; });
   config.self_name = file.text_or("self", self_name);
-  config.self = fleet::MemberId(hash_of(config.self_name));
+  config.self = fleet::MemberId(fnv1a_hash(config.self_name));
   if (!config.places.count(config.self))
     file.fail("self", "this relay, " + config.self_name + ", is no member",
               "add a [[member]] of that name, or set self to the member that it is");
@@ -221,7 +221,7 @@
     latest.fail("segment_kb", "four segments do not fit in disk_mb", "give smaller segments or more disk");
 }
 
-void read_stream(Section& entry, const std::map<std::string, Repeat>& repeats, FleetConfig& config) {
+void read_stream(Section& entry, const std::map<std::string, RetrySafety>& repeats, FleetConfig& config) {
   FleetConfig::Stream stream;
   stream.type = entry.text("type");
   auto type = repeats.find(stream.type);
@@ -229,7 +229,7 @@
     entry.fail("type", "the document type " + stream.type + " is unknown",
                "name a document type of the relay's configuration");
   // Guards against a binding document delivered twice: a subscriber taken over may have an effect again.
-  if (type->second == Repeat::binding)
+  if (type->second == RetrySafety::unsafe)
     entry.fail("type", "the document type " + stream.type + " is binding",
                "only replayable and numbered document types may be streams");
   for (const auto& other : config.streams)
@@ -256,7 +256,7 @@
 }  // namespace
 
 FleetConfig read_fleet_file(const std::string& path, const std::string& self_name,
-                            const std::map<std::string, Repeat>& repeats) {
+                            const std::map<std::string, RetrySafety>& repeats) {
   auto table = parsed(path);
   Section file(path, table, "");
   FleetConfig config;
@@ -297,15 +297,15 @@
 std::optional<FleetConfig> read_fleet(const Config& relay) {
   if (relay.fleet_file.empty()) return std::nullopt;
   std::optional config = read_fleet_file(relay.fleet_file, relay.name, relay.repeats());
-  if (relay.disk_bytes < disk_kept(config) + store_least)
+  if (relay.max_disk_bytes < disk_kept(config) + store_least)
     throw BadFleetFile("its parts would take " + plain(static_cast<double>(disk_kept(config))) + " of " +
-                           plain(static_cast<double>(relay.disk_bytes)) + " bytes on disk",
+                           plain(static_cast<double>(relay.max_disk_bytes)) + " bytes on disk",
                        relay.fleet_file + ", latest.disk_mb",
                        "lower it, or raise limits.disk_mb of the relay");
-  if (relay.endpoint_connections < descriptors_kept(config) + connections_least)
+  if (relay.max_endpoint_connections < descriptors_kept(config) + connections_least)
     throw BadFleetFile(plain(static_cast<double>(config->roster.size())) + " members may take " +
                            plain(static_cast<double>(descriptors_kept(config))) + " of " +
-                           plain(static_cast<double>(relay.endpoint_connections)) + " connections",
+                           plain(static_cast<double>(relay.max_endpoint_connections)) + " connections",
                        relay.fleet_file + ", member",
                        "raise limits.sockets of the relay, or name fewer members");
   return config;
--- a/src/peer/fleet_config.h
+++ b/src/peer/fleet_config.h
@@ -54,7 +54,7 @@
 // BadFleetFile with file, line, key and reason: a key unknown, missing, twice, of a wrong kind or out of
 // range.
 FleetConfig read_fleet_file(const std::string& path, const std::string& self_name,
-                            const std::map<std::string, Repeat>& repeats);
+                            const std::map<std::string, RetrySafety>& repeats);
 
 // The same for the file that the relay's configuration names, if it names one; what the parts keep on disk
 // must leave the documents held their room.
--- a/src/peer/latest.cpp
+++ b/src/peer/latest.cpp
@@ -26,7 +26,7 @@
   settings.segment_bytes = config.segment_bytes, settings.disk_bytes = config.latest_disk_bytes;
   settings.version_ahead = config.version_ahead;
   for (const auto& stream : config.streams)
-    settings.streams.push_back({StreamId(hash_of(stream.type)),
+    settings.streams.push_back({StreamId(fnv1a_hash(stream.type)),
                                 stream.type,
                                 {stream.subscribers.begin(), stream.subscribers.end()},
                                 stream.tombstone_life,
@@ -46,7 +46,7 @@
         settings_(settings_of(place.fleet)),
         log_(disk_files(place.folder + "/latest"), place.folder + "/latest", place.fleet.roster,
              place.fleet.self, settings_, std::max(place.fleet.warm_bytes, place.fleet.segment_bytes),
-             place.seed, place.around.loop.now(), Loop::wall()),
+             place.seed, place.around.loop.now(), EventLoop::wall_time()),
         due_(place.around.loop, [this] { turn(); }) {
     offers_->load = [this](std::uint64_t id) { return load(id); };
   }
@@ -54,7 +54,7 @@
 
   void start() override {
     // Documents taken on before the restart that go to a subscriber themselves.
-    for (auto& [doc, held] : around_.store.held())
+    for (auto& [doc, held] : around_.store.documents())
       if (auto stream = stream_of(held); stream && !held.ended && subscribes(*stream, held.destination)) {
         held.type.in_order = true;
         auto key = key_hash(held.order_key);
@@ -75,7 +75,7 @@
     log_.module().linked(peer, up);
     soon();
   }
-  void member(MemberId, fleet::Incarnation, fleet::Condition) override {
+  void member(MemberId, fleet::Incarnation, fleet::MemberState) override {
     begin();
     log_.module().alive(membership_.alive());
     soon();
@@ -83,8 +83,8 @@
 
   // Into the log before +OK. Asked again for one that another relay is to keep first.
   bool may_answer(DocId doc) override {
-    auto found = around_.store.held().find(doc);
-    auto stream = found == around_.store.held().end() ? nullptr : stream_of(found->second);
+    auto found = around_.store.documents().find(doc);
+    auto stream = found == around_.store.documents().end() ? nullptr : stream_of(found->second);
     if (!stream) return true;
     if (auto taken = taken_.find(doc); taken != taken_.end()) {
       if (!taken->second.copied) return false;
@@ -92,9 +92,10 @@
       return true;
     }
     if (refused_.count(doc)) return false;
-    Held& held = found->second;
+    StoredDocument& held = found->second;
     Record record;
-    record.stream = stream->id, record.key = held.order_key, record.id = held.id, record.mark = held.mark;
+    record.stream = stream->id, record.key = held.order_key, record.id = held.id,
+    record.mark = held.idempotency_key;
     record.tenant = held.tenant, record.body = held.body, record.own = held.destination;
     record.own_until = static_cast<std::uint64_t>(std::max(0.0, held.expiry));
     begin();
@@ -121,9 +122,9 @@
   // be older than what that has had.
   bool may_go(DocId doc, int) override {
     if (auto found = out_.find(doc); found != out_.end())
-      return log_.module().has_duty(found->second.lane, Loop::monotonic());
-    auto held = around_.store.held().find(doc);
-    auto stream = held == around_.store.held().end() ? nullptr : stream_of(held->second);
+      return log_.module().has_duty(found->second.lane, EventLoop::monotonic_time());
+    auto held = around_.store.documents().find(doc);
+    auto stream = held == around_.store.documents().end() ? nullptr : stream_of(held->second);
     if (!stream || !subscribes(*stream, held->second.destination)) return true;
     auto position =
         log_.module().position({stream->id, held->second.destination}, key_hash(held->second.order_key));
@@ -139,12 +140,12 @@
   }
 
   // Before the relay ends them: a delivery's end is told to nobody but the module.
-  void after_turn(const rockcrank::Decided& decided) override {
+  void after_turn(const rockcrank::Actions& decided) override {
     for (const auto& reject : decided.rejected) failed(reject.doc);
     for (DocId doc : decided.abandoned) failed(doc);
   }
   void outcome(const Outcome& outcome) override {
-    if (!outcome.over) return;
+    if (!outcome.completed) return;
     auto tell = [&](auto& from) {
       auto found = from.find(outcome.doc);
       if (found == from.end()) return false;
@@ -156,7 +157,7 @@
       return true;
     };
     if (auto found = out_.find(outcome.doc); found != out_.end() && offers_->delivered)
-      offers_->delivered(id_of(found->second.lane.stream, found->second.key), outcome.took);
+      offers_->delivered(id_of(found->second.lane.stream, found->second.key), outcome.duration);
     if (tell(out_)) ++delivered_;
     else if (!tell(own_)) tell(late_);
   }
@@ -184,7 +185,7 @@
     bool copied = false;
   };
 
-  const StreamSettings* stream_of(const Held& held) const {
+  const StreamSettings* stream_of(const StoredDocument& held) const {
     // One without a key has no newest: it goes as any document, and is not kept.
     if (held.order_key.find_first_not_of('0') == std::string::npos) return nullptr;
     auto found = std::ranges::find(settings_.streams, held.doc_type, &StreamSettings::type);
@@ -212,24 +213,24 @@
     return 0;
   }
 
-  void begin() { log_.begin(around_.loop.now(), Loop::wall()); }
+  void begin() { log_.begin(around_.loop.now(), EventLoop::wall_time()); }
   void soon() { due_.set(around_.loop.now()); }
 
   void turn() {
     begin();
     auto& module = log_.module();
     module.alive(membership_.alive());
-    auto live =
-        static_cast<int>(around_.store.held().size() - std::min(around_.store.held().size(), out_.size()));
+    auto live = static_cast<int>(around_.store.documents().size() -
+                                 std::min(around_.store.documents().size(), out_.size()));
     module.documents(std::max(0, live - around_.config.settings.slots));
     if (around_.loop.now() >= look_at_) look(), look_at_ = around_.loop.now() + look_every;
     for (DocId doc : std::exchange(refused_, {})) around_.answer(doc, false);
     for (DocId doc : std::exchange(late_for_own_, {})) {
       // Its subscriber has had a newer one: it is abandoned, and its client told so.
-      if (!around_.store.held().count(doc)) continue;
+      if (!around_.store.documents().count(doc)) continue;
       around_.begin();
       around_.decision.withdraw(doc);
-      around_.store.ended(doc, false, 0);
+      around_.store.record_ended(doc, false, 0);
       around_.owe(doc);
     }
     auto decided = log_.decide();
@@ -282,11 +283,12 @@
   // Which subscribers' destinations are held, shut or returning cold: no backlog is begun there.
   void look() {
     std::set<std::pair<bool, std::uint64_t>> resting;
-    for (const auto& known : around_.decision.knowledge(true))
-      if (known.told_left > 0 || known.state != RouteState::well) resting.insert({known.apart, known.route});
+    for (const auto& known : around_.decision.route_statuses(true))
+      if (known.retry_after_left > 0 || known.state != RouteState::healthy)
+        resting.insert({known.per_endpoint, known.route});
     std::map<DestinationId, std::pair<int, int>> endpoints;  // listed, and of those resting
     for (const auto& [id, entry] : around_.known) {
-      if (entry.standing != Standing::listed) continue;
+      if (entry.status != EndpointStatus::ready) continue;
       auto& [listed, rests] = endpoints[entry.destination];
       ++listed, rests += resting.count({true, static_cast<std::uint64_t>(id)}) > 0;
     }
@@ -306,18 +308,19 @@
     auto stream = std::ranges::find(settings_.streams, delivery.lane.stream, &StreamSettings::id);
     auto type = around_.config.doc_types.find(stream->type);
     auto subscriber = std::to_string(static_cast<std::uint64_t>(delivery.lane.subscriber));
-    Held held;
+    StoredDocument held;
     held.id = record->id + "." + subscriber;
     auto bytes = held.id.size() + record->mark.size() + record->body.size() + record->key.size() + 128;
-    if (type == around_.config.doc_types.end() || !around_.decision.knows(delivery.lane.subscriber) ||
-        !around_.decision.has_room() || around_.store.holds(held.id) || !around_.store.has_room(bytes))
+    if (type == around_.config.doc_types.end() ||
+        !around_.decision.has_destination(delivery.lane.subscriber) || !around_.decision.has_capacity() ||
+        around_.store.contains(held.id) || !around_.store.has_room(bytes))
       return false;
-    held.mark = record->mark, held.body = record->body, held.tenant = record->tenant;
+    held.idempotency_key = record->mark, held.body = record->body, held.tenant = record->tenant;
     // In order for each subscriber: one that is down must not keep the key from the others.
     held.order_key = record->key + "." + subscriber;
     held.doc_type = stream->type, held.type = type->second;
-    held.most = around_.config.settings.max_transmissions;
-    held.destination = delivery.lane.subscriber, held.expiry = Loop::wall() + type->second.lifetime;
+    held.max_transmissions = around_.config.settings.max_transmissions;
+    held.destination = delivery.lane.subscriber, held.expiry = EventLoop::wall_time() + type->second.lifetime;
     around_.begin();
     auto doc = around_.store.add(std::move(held));
     out_[doc] = delivery;
@@ -330,7 +333,7 @@
     if (found == out_.end()) return;
     auto delivery = found->second;
     out_.erase(found), ++failed_;
-    around_.store.forget(doc);
+    around_.store.remove(doc);
     begin();
     log_.module().ended(delivery, false);
     soon();
--- a/src/peer/latest_log.cpp
+++ b/src/peer/latest_log.cpp
@@ -42,7 +42,7 @@
   try {
     module_->stored(entry, segments_->append(record), own);
     return true;
-  } catch (const fleet::NoRoom& error) {
+  } catch (const fleet::StorageUnavailable& error) {
     if (own) throw;
     report(error.what());
     return false;
@@ -89,13 +89,13 @@
       auto here = read(entry.stream, entry.key);
       segments_->set_aside(verdict == Verdict::differs ? record : here.value_or(record));
       if (verdict == Verdict::replaces) kept_all &= keep(entry, record, false);
-      report(
-          fleet::CopiesDiffer("two records of equal version and other content, ids " + record.id + " and " +
-                                  (here ? here->id : "?"),
-                              "key " + record.key + ", from member " + sender,
-                              "both are in the file aside; see whether a machine image was restored beside "
-                              "its former self")
-              .what());
+      report(fleet::VersionConflict(
+                 "two records of equal version and other content, ids " + record.id + " and " +
+                     (here ? here->id : "?"),
+                 "key " + record.key + ", from member " + sender,
+                 "both are in the file aside; see whether a machine image was restored beside "
+                 "its former self")
+                 .what());
     }
   }
   module_->heard(from, message, kept_all);
@@ -117,7 +117,7 @@
     if (!kept) break;
     try {
       module_->mark_kept(mark, segments_->append(mark));
-    } catch (const fleet::NoRoom& error) { report(error.what()), kept = false; }
+    } catch (const fleet::StorageUnavailable& error) { report(error.what()), kept = false; }
   }
   Decided done;
   for (auto& out : decided.sends) {
--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -176,7 +176,7 @@
     bool up = false;
   };
 
-  Parts(Link& link, Loop& loop, const FleetConfig& config, Incarnation own, std::uint64_t seed)
+  Parts(Link& link, EventLoop& loop, const FleetConfig& config, Incarnation own, std::uint64_t seed)
       : link_(link),
         loop_(loop),
         fleet_(config.fleet),
@@ -226,15 +226,15 @@
   void dial(Dialled& peer) {
     peer.since = loop_.now(), peer.welcomed = false, peer.batch.clear(), peer.awaited = -1;
     peer.stream = std::make_unique<Stream>(loop_, peer.at);
-    if (peer.stream->state() == Stream::State::ended) return drop(peer, "cannot be dialled");
-    peer.stream->on_end = [this, &peer] { drop(peer, peer.welcomed ? "ended by the peer" : "not taken"); };
+    if (peer.stream->state() == Stream::State::closed) return drop(peer, "cannot be dialled");
+    peer.stream->on_close = [this, &peer] { drop(peer, peer.welcomed ? "ended by the peer" : "not taken"); };
     peer.stream->on_data = [this, &peer] { read(peer); };
-    peer.stream->on_up = [this, &peer] { peer.stream->send(greeting()); };
+    peer.stream->on_connected = [this, &peer] { peer.stream->send(greeting()); };
   }
 
   void drop(Dialled& peer, const std::string& why, bool at_once = false) {
     auto now = loop_.now();
-    if (peer.stream) peer.stream->close(), loop_.bury(std::move(peer.stream));
+    if (peer.stream) peer.stream->close(), loop_.defer_delete(std::move(peer.stream));
     peer.batch.clear(), peer.batch.shrink_to_fit();
     // A connection that was taken and soon ended counts as failed: a refused peer must not come in a storm.
     if (peer.welcomed && now - peer.since >= lasted) peer.failures = 0;
@@ -263,7 +263,7 @@
           throw BadMessage("what answers is no pong", where, "have `at` lead to the member itself");
         used += frame->size;
         answered(peer, where, static_cast<Own>(frame->payload[0]), frame->payload.substr(1));
-        if (stream->state() == Stream::State::ended) return;
+        if (stream->state() == Stream::State::closed) return;
       }
     } catch (const BadMessage& error) {
       named(peer.name, where, error);
@@ -279,7 +279,7 @@
       return drop(peer, "it knows a newer life of this member");
     }
     if (kind != Own::pong || peer.awaited < 0 || unpacked<Number>(value).number != peer.ping) return;
-    auto trip = Loop::monotonic() - std::exchange(peer.awaited, -1);
+    auto trip = EventLoop::monotonic_time() - std::exchange(peer.awaited, -1);
     peer.least = peer.least < 0 ? trip : std::min(peer.least, trip);
   }
 
@@ -306,7 +306,7 @@
 
   void ping(Dialled& peer) {
     if (peer.awaited >= 0) return;
-    peer.pinged = loop_.now(), peer.awaited = Loop::monotonic(), peer.used = false;
+    peer.pinged = loop_.now(), peer.awaited = EventLoop::monotonic_time(), peer.used = false;
     put(peer, own_frame(Own::ping, Number{++peer.ping}));
   }
 
@@ -335,9 +335,9 @@
       return false;
     }
     auto more = head + 1 + payload.size();
-    if (peer.stream->unsent() + peer.batch.size() + more > queue_most_) write(peer);
+    if (peer.stream->unsent_bytes() + peer.batch.size() + more > queue_most_) write(peer);
     // Guards against memory that a slow peer would hold, and against news grown old: it is caught up later.
-    if (peer.stream->unsent() + more > queue_most_) {
+    if (peer.stream->unsent_bytes() + more > queue_most_) {
       drop(peer, "slower than its queue of " + std::to_string(queue_most_ / 1024) + " KB");
       return false;
     }
@@ -383,7 +383,7 @@
     peer->where = remote_of(fd), peer->since = peer->heard = loop_.now();
     peer->stream = std::make_unique<Stream>(loop_, fd);
     peer->stream->on_data = [this, at] { read(*at); };
-    peer->stream->on_end = [this, at] { read(*at, true), shut(*at); };
+    peer->stream->on_close = [this, at] { read(*at, true), shut(*at); };
     accepted_.push_back(std::move(peer));
     // Guards against strangers that hold descriptors: the oldest of those that said nothing gives way.
     std::size_t strangers = 0;
@@ -400,7 +400,7 @@
     again_.erase(&peer);
     for (auto at = accepted_.begin(); at != accepted_.end(); ++at)
       if (at->get() == &peer) {
-        loop_.bury(std::move(*at));
+        loop_.defer_delete(std::move(*at));
         accepted_.erase(at);
         return;
       }
@@ -434,8 +434,8 @@
     }
     stream->consume(used);
     // Guards against a peer that fills a turn with its messages: the others have their part of each round.
-    if (ended || handled < frames_a_turn) return stream->read_on(true);
-    stream->read_on(false);
+    if (ended || handled < frames_a_turn) return stream->enable_reading(true);
+    stream->enable_reading(false);
     again_.insert(&peer), flush_.set(loop_.now());
   }
 
@@ -489,8 +489,8 @@
       if (greeting.life == own_)
         throw BadMessage("this relay dialled itself", peer.where, "correct `at` of the members");
       twin(greeting.life);
-      throw fleet::TwinMember("another process says it is this member", peer.where,
-                              "end one of them; give each relay a name and a state folder of its own");
+      throw fleet::DuplicateMember("another process says it is this member", peer.where,
+                                   "end one of them; give each relay a name and a state folder of its own");
     }
     auto found = dialled_.find(greeting.member);
     if (found == dialled_.end())
@@ -509,12 +509,12 @@
       else older.push_back(other.get());
     }
     if (newer) {
-      say(back.name, fleet::TwinMember("an older life of a member is still there", peer.where,
-                                       "end the older process, or the one from a restored image")
+      say(back.name, fleet::DuplicateMember("an older life of a member is still there", peer.where,
+                                            "end the older process, or the one from a restored image")
                          .what());
       peer.refused = true, peer.since = loop_.now();
       peer.stream->send(own_frame(Own::superseded, *newer));
-      return peer.stream->finish();
+      return peer.stream->close_gracefully();
     }
     for (auto* other : older) shut(*other);  // of one peer the newest connection counts
     if (back.welcomed && back.life < greeting.life) drop(back, "a newer life of it dialled", true);
@@ -568,7 +568,7 @@
   // is taken either.
   void keep(Dialled& peer) {
     auto now = loop_.now();
-    auto unsent = peer.stream->unsent();
+    auto unsent = peer.stream->unsent_bytes();
     if (unsent < peer.unsent) peer.moved = now;
     peer.unsent = unsent;
     if (peer.awaited >= 0 && now - std::max(peer.awaited, peer.moved) > pong_within)
@@ -599,7 +599,7 @@
   }
 
   Link& link_;
-  Loop& loop_;
+  EventLoop& loop_;
   const std::string fleet_;
   const MemberId self_;
   const Address here_;
@@ -617,7 +617,7 @@
   Timer look_, flush_;
 };
 
-Link::Link(Loop& loop, const FleetConfig& config, Incarnation own, std::uint64_t seed)
+Link::Link(EventLoop& loop, const FleetConfig& config, Incarnation own, std::uint64_t seed)
     : parts_(std::make_unique<Parts>(*this, loop, config, own, seed)) {}
 
 Link::~Link() = default;
--- a/src/peer/link.h
+++ b/src/peer/link.h
@@ -22,7 +22,7 @@
 
 class Link {
  public:
-  Link(Loop& loop, const FleetConfig& config, fleet::Incarnation own, std::uint64_t seed);
+  Link(EventLoop& loop, const FleetConfig& config, fleet::Incarnation own, std::uint64_t seed);
   ~Link();
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
--- a/src/peer/part.h
+++ b/src/peer/part.h
@@ -24,7 +24,7 @@
 
 // The relay, as its parts see it.
 struct Around {
-  Loop& loop;
+  EventLoop& loop;
   Decision& decision;
   Store& store;
   Endpoints& endpoints;
@@ -65,10 +65,10 @@
   virtual void start() {}  // the relay knows its list, and has not yet gone through what its folder holds
   virtual void heard(fleet::MemberId, std::string_view) {}  // throws BadMessage: the link is closed and named
   virtual void linked(fleet::MemberId, fleet::Incarnation, bool) {}
-  virtual void member(fleet::MemberId, fleet::Incarnation, fleet::Condition) {}
+  virtual void member(fleet::MemberId, fleet::Incarnation, fleet::MemberState) {}
   virtual void given_up_on() {}  // this process was held to be dead by others, as after a stall
   virtual void before_turn() {}  // the relay is about to ask the decision module
-  virtual void after_turn(const Decided&) {}
+  virtual void after_turn(const Actions&) {}
   // Of the store's documents, by its records' kinds: D taken on, S sent, N never ran, E ended, F forgotten
   // (it is over; still in the store during the call).
   virtual void noted(char, DocId, int /*transmission*/) {}
--- a/src/peer/segments.cpp
+++ b/src/peer/segments.cpp
@@ -25,7 +25,7 @@
 
 using namespace latest;
 using fleet::BadStateFile;
-using fleet::NoRoom;
+using fleet::StorageUnavailable;
 
 // A frame: length of what follows the head, its check sum, then a kind and its content.
 constexpr std::size_t head_bytes = 12;
@@ -191,8 +191,9 @@
 }
 
 void Segments::no_room(const std::string& what) const {
-  throw NoRoom("a record cannot be kept: " + what, where_,
-               "documents of streams are told to come again; free the disk, or raise latest.disk_mb");
+  throw StorageUnavailable(
+      "a record cannot be kept: " + what, where_,
+      "documents of streams are told to come again; free the disk, or raise latest.disk_mb");
 }
 
 BadStateFile Segments::bad(const std::string& name, std::size_t at, const std::string& what) const {
@@ -426,7 +427,7 @@
     add_to_manifest('D', id, stream, false);
     files_->rename(name_of(id), name_of(id) + ".bad");
     segments_.erase(id);
-  } catch (const NoRoom&) {
+  } catch (const StorageUnavailable&) {
     // Then it stays where it is, and is read from there.
     segments_[id].size = bytes.size(), bytes_ += bytes.size();
     taker_.segment(id, stream, true);
--- a/src/peer/share.cpp
+++ b/src/peer/share.cpp
@@ -51,33 +51,33 @@
   void heard(MemberId from, std::string_view payload) override {
     auto message = unpacked<fleet::RegisterMessage>(payload);
     begin();
-    registers_->heard(from, message);
+    registers_->on_message(from, message);
     due_.set(around_.loop.now());
   }
 
   void linked(MemberId peer, fleet::Incarnation, bool up) override {
     begin();
-    registers_->linked(peer, up);
+    registers_->on_link_change(peer, up);
     due_.set(around_.loop.now());
   }
 
-  void member(MemberId, fleet::Incarnation, fleet::Condition) override {
+  void member(MemberId, fleet::Incarnation, fleet::MemberState) override {
     begin();
     tell_living();
     due_.set(around_.loop.now());
   }
 
   // What this relay has found out in the turn that was just gone through, which began a little ago.
-  void after_turn(const Decided&) override {
-    auto news = around_.decision.knowledge(false);
+  void after_turn(const Actions&) override {
+    auto news = around_.decision.route_statuses(false);
     if (news.empty()) return;
     begin();
     Millis ago = around_.loop.now() - around_.turn_began();
     for (auto& known : news) {
-      if (known.told_left > 0) binds_ = true, known.told_left -= ago;
-      binds_ |= known.state != RouteState::well;
+      if (known.retry_after_left > 0) binds_ = true, known.retry_after_left -= ago;
+      binds_ |= known.state != RouteState::healthy;
       known.state_age += ago, known.limit_age += ago;
-      registers_->tell(known);
+      registers_->publish(known);
     }
     // At once, not in a later round: a told wait spreads before anything else is done.
     turn();
@@ -86,7 +86,7 @@
   void told_out(const std::string& endpoint, bool out) override {
     begin();
     orders_.erase(endpoint);
-    registers_->tell_out(endpoint, out);
+    registers_->publish_offline(endpoint, out);
     binds_ = true;
     turn();
   }
@@ -97,15 +97,15 @@
     char text[160];
     std::snprintf(text, sizeof text,
                   "share: %zu entries, %llu words learned, %llu messages and %llu bytes sent%s",
-                  registers_->all().size(), static_cast<unsigned long long>(learned_),
+                  registers_->all_records().size(), static_cast<unsigned long long>(learned_),
                   static_cast<unsigned long long>(messages_), static_cast<unsigned long long>(bytes_),
                   registers_->caught_up() ? "" : ", not caught up");
     return text;
   }
 
  private:
-  void begin() { registers_->begin(around_.loop.now()); }
-  void tell_living() { registers_->alive(place_.membership.alive()); }
+  void begin() { registers_->begin_turn(around_.loop.now()); }
+  void tell_living() { registers_->set_alive(place_.membership.alive()); }
 
   void restore(const StateFile::Kept& kept) {
     try {
@@ -122,29 +122,30 @@
       if (place_.link.send(send.to, Channel::registers, bytes)) ++messages_, bytes_ += bytes.size();
     }
     for (const auto& line : decided.log) log_line("share: %s", line.c_str());
-    for (const auto& entry : decided.differing) {
-      fleet::CopiesDiffer error(
+    for (const auto& entry : decided.conflicts) {
+      fleet::VersionConflict error(
           "two words of one version differ", entry,
           "see whether two processes run as one member; both words are kept, one counts");
       log_line("share: %s", error.what());
     }
-    if (!decided.learned.empty()) learn(decided.learned);
-    for (const auto& order : decided.outs) orders_.erase(order.endpoint), take_out(order.endpoint, order.out);
+    if (!decided.route_reports.empty()) learn(decided.route_reports);
+    for (const auto& order : decided.offline_orders)
+      orders_.erase(order.endpoint), take_out(order.endpoint, order.offline);
     for (const auto& [endpoint, out] : std::map(orders_)) take_out(endpoint, out);
     if (decided.wake_in >= 0) due_.set(around_.loop.now() + decided.wake_in);
     else due_.clear();
-    keep_soon(!decided.learned.empty() || !decided.outs.empty());
+    keep_soon(!decided.route_reports.empty() || !decided.offline_orders.empty());
   }
 
   // The decision module counts from the moment at which its turn began.
-  void learn(std::vector<Knowledge>& learned) {
+  void learn(std::vector<RouteStatus>& learned) {
     around_.begin();
     Millis ago = around_.loop.now() - around_.turn_began();
     for (auto& known : learned) {
-      if (known.told_left > 0) known.told_left += ago;
+      if (known.retry_after_left > 0) known.retry_after_left += ago;
       known.state_age = std::max(0.0, known.state_age - ago),
       known.limit_age = std::max(0.0, known.limit_age - ago);
-      around_.decision.learn(known);
+      around_.decision.apply_route_status(known);
       log_wait(known);
     }
     learned_ += learned.size();
@@ -152,12 +153,12 @@
 
   // Staff of this relay see why it holds documents of a destination that never turned it away: once for a
   // wait.
-  void log_wait(const Knowledge& known) {
-    auto end = around_.loop.now() + known.told_left;
-    auto& said = waits_said_[{known.apart, known.route}];
-    if (known.told_left <= 0 || end <= said + worth_saying) return;
-    log_line("share: told wait of another relay to %c%016llx: %.0f ms", known.apart ? 'e' : 'd',
-             static_cast<unsigned long long>(known.route), known.told_left);
+  void log_wait(const RouteStatus& known) {
+    auto end = around_.loop.now() + known.retry_after_left;
+    auto& said = waits_said_[{known.per_endpoint, known.route}];
+    if (known.retry_after_left <= 0 || end <= said + worth_saying) return;
+    log_line("share: told wait of another relay to %c%016llx: %.0f ms", known.per_endpoint ? 'e' : 'd',
+             static_cast<unsigned long long>(known.route), known.retry_after_left);
     said = end;
     std::erase_if(waits_said_, [&](const auto& one) { return one.second <= around_.loop.now(); });
   }
@@ -165,9 +166,10 @@
   // At a start too: an order that came while the store could not be written is carried out then; else it is
   // tried again in each turn.
   void take_out(const std::string& endpoint, bool out) {
-    if (around_.store.outs().count(endpoint) == (out ? 1u : 0u)) return void(orders_.erase(endpoint));
+    if (around_.store.offline_endpoints().count(endpoint) == (out ? 1u : 0u))
+      return void(orders_.erase(endpoint));
     around_.take_out(endpoint, out);
-    if (around_.store.outs().count(endpoint) != (out ? 1u : 0u)) {
+    if (around_.store.offline_endpoints().count(endpoint) != (out ? 1u : 0u)) {
       if (orders_.insert_or_assign(endpoint, out).second)
         log_line("share: the order to %s %.60s cannot be noted yet", out ? "take out" : "put back",
                  endpoint.c_str());
@@ -193,7 +195,7 @@
     keep_due_.clear(), keep_set_ = false;
     kept_at_ = around_.loop.now();
     std::string why;
-    bool kept = file_.write(registers_->to_keep(state_words), moment_now(), why);
+    bool kept = file_.write(registers_->records_to_persist(state_words), moment_now(), why);
     if (!kept && !std::exchange(failing_, true)) log_line("share: %s", why.c_str());
     if (kept && std::exchange(failing_, false)) log_line("share: what the relay knows is kept again");
     if (kept) changed_ = binds_ = false;
--- a/src/peer/state_file.cpp
+++ b/src/peer/state_file.cpp
@@ -40,7 +40,7 @@
   std::string fleet;
   fleet::MemberId member{};
   Moment written;
-  std::vector<fleet::Word> words;
+  std::vector<fleet::RegisterRecord> words;
   auto fields() { return std::tie(fleet, member, written, words); }
 };
 
@@ -133,7 +133,7 @@
     throw bad("the state file is dated in the future", head + sum_bytes);
   gone_for = std::max(gone_for, 0.0);
   bool any = std::any_of(image.words.begin(), image.words.end(),
-                         [&](const auto& word) { return word.age + gone_for < fleet::life_of(word); });
+                         [&](const auto& word) { return word.age + gone_for < fleet::retention_of(word); });
   if (!any && !image.words.empty())
     throw bad("the state file is older than anything it says can live", head + sum_bytes);
   return {std::move(image.words), gone_for};
@@ -152,7 +152,7 @@
   std::filesystem::rename(path_, name(1), none);
 }
 
-bool StateFile::write(const std::vector<fleet::Word>& words, const Moment& now, std::string& why) {
+bool StateFile::write(const std::vector<fleet::RegisterRecord>& words, const Moment& now, std::string& why) {
   why.clear();
   Image image{fleet_, member_, now, {}};
   std::size_t bytes = packed(image).size() + mark.size() + form.size() + sum_bytes + 8;
@@ -169,8 +169,9 @@
   whole += rest;
   auto fresh = path_ + ".new";
   if (write_whole(fresh, whole) && std::rename(fresh.c_str(), path_.c_str()) == 0) return true;
-  why = fleet::NoRoom(std::string("what the relay knows cannot be kept: ") + std::strerror(errno), path_,
-                      "make room or mend the folder; it is tried again, and nothing else is concerned")
+  why = fleet::StorageUnavailable(
+            std::string("what the relay knows cannot be kept: ") + std::strerror(errno), path_,
+            "make room or mend the folder; it is tried again, and nothing else is concerned")
             .what();
   ::unlink(fresh.c_str());
   return false;
--- a/src/peer/state_file.h
+++ b/src/peer/state_file.h
@@ -36,7 +36,7 @@
 class StateFile {
  public:
   struct Kept {
-    std::vector<fleet::Word> words;  // ages as of the file's writing
+    std::vector<fleet::RegisterRecord> words;  // ages as of the file's writing
     Millis gone_for = 0;
   };
   StateFile(std::string path, std::string fleet, fleet::MemberId member);
@@ -44,7 +44,7 @@
   // None: there is no file, or there is one that is not to be used, which `why` then names.
   std::optional<Kept> read(const Moment& now, std::string& why);
   // words: the most needed first. False: it could not be written, and `why` says so; what stood there stands.
-  bool write(const std::vector<fleet::Word>& words, const Moment& now, std::string& why);
+  bool write(const std::vector<fleet::RegisterRecord>& words, const Moment& now, std::string& why);
 
  private:
   static std::string remedy();
--- a/src/peer/warm.cpp
+++ b/src/peer/warm.cpp
@@ -29,35 +29,36 @@
         offers_(place.offers),
         seed_(place.seed),
         due_(place.around.loop, [this] { settle(); }) {
-    around_.endpoints.on_ahead = [this](EndpointId endpoint, Endpoints::Ahead what) {
+    around_.endpoints.on_preconnect = [this](EndpointId endpoint, Endpoints::PreconnectEvent what) {
       using Fate = Warmer::Fate;
       constexpr Fate fates[] = {Fate::up, Fate::used, Fate::failed, Fate::unused};
       mind().fate(endpoint, fates[static_cast<int>(what)]);
     };
     offers_->delivered = [this](std::uint64_t key, Millis took) { mind().used(Sort::key, key, took); };
   }
-  ~WarmPart() override { around_.endpoints.on_ahead = nullptr, offers_->delivered = nullptr; }
+  ~WarmPart() override { around_.endpoints.on_preconnect = nullptr, offers_->delivered = nullptr; }
 
   void start() override { mind(); }
   void heard(fleet::MemberId from, std::string_view payload) override {
     mind().heard(from, unpacked<warm::WarmMessage>(payload));
   }
   void linked(fleet::MemberId peer, fleet::Incarnation, bool up) override { mind().linked(peer, up); }
-  void member(fleet::MemberId, fleet::Incarnation, fleet::Condition) override {
+  void member(fleet::MemberId, fleet::Incarnation, fleet::MemberState) override {
     mind().alive(membership_.alive());
   }
   void given_up_on() override { mind().stalled(); }
   void outcome(const Outcome& outcome) override {
-    if (outcome.ending == Ending::not_connected || outcome.ending == Ending::not_sent) return;
+    if (outcome.result == TransmissionResult::not_connected || outcome.result == TransmissionResult::not_sent)
+      return;
     // Documents of one call end together: it is one use of its connection.
-    auto call = std::tuple(outcome.endpoint, around_.loop.now(), outcome.took);
+    auto call = std::tuple(outcome.endpoint, around_.loop.now(), outcome.duration);
     if (std::exchange(last_call_, call) == call) return;
-    mind().used(Sort::endpoint, static_cast<std::uint64_t>(outcome.endpoint), outcome.took);
+    mind().used(Sort::endpoint, static_cast<std::uint64_t>(outcome.endpoint), outcome.duration);
   }
-  void after_turn(const Decided& decided) override {
+  void after_turn(const Actions& decided) override {
     // A turn without documents changes nothing for a warmer that has ended.
     if (warmer_ && warmer_->over() && !open_) return;
-    went_ = static_cast<int>(decided.transmitted.size());
+    went_ = static_cast<int>(decided.transmissions.size());
     mind();
   }
 
@@ -75,7 +76,7 @@
       warm::Budget budget;
       budget.neighbours = fleet_.warm_neighbours, budget.connections = fleet_.warm_connections;
       budget.list_most = fleet_.list_most, budget.bytes = fleet_.warm_bytes;
-      budget.within = fleet_.warm_within, budget.idle_life = around_.config.idle_life;
+      budget.within = fleet_.warm_within, budget.idle_life = around_.config.idle_timeout;
       // What was handed over whole has its connections: there is nothing to warm.
       bool cold = around_.endpoints.connections() == 0;
       warmer_ = Warmer::make(fleet_.roster, fleet_.self, budget, cold, seed_);
@@ -90,7 +91,7 @@
 
   void settle() {
     Warmer& warmer = mind();
-    int free = around_.config.settings.slots - static_cast<int>(around_.endpoints.out());
+    int free = around_.config.settings.slots - static_cast<int>(around_.endpoints.calls_in_flight());
     warmer.documents(std::exchange(went_, 0), free);
     if (!warmer.over()) warmer.state_known(!offers_->state_known || offers_->state_known());
     auto decided = warmer.decide();
@@ -108,8 +109,8 @@
     // Guards against a lender that names what this relay's list has not, or has no longer.
     if (!around_.known.count(ahead.endpoint) || up >= ahead.up_to) return mind().enough(ahead.endpoint);
     around_.begin();  // the module answers as of now
-    bool may = around_.decision.may_open_ahead(ahead.endpoint, up);
-    if (!may || !around_.endpoints.open_ahead(ahead.endpoint)) mind().may_not(ahead.endpoint);
+    bool may = around_.decision.may_preconnect(ahead.endpoint, up);
+    if (!may || !around_.endpoints.preconnect(ahead.endpoint)) mind().may_not(ahead.endpoint);
   }
 
   Around& around_;
--- a/src/peer/whisper.cpp
+++ b/src/peer/whisper.cpp
@@ -29,13 +29,13 @@
 
 }  // namespace
 
-Whisper::Whisper(Loop& loop, Decision& decision, const Config& config, std::function<void()> begin)
+Whisper::Whisper(EventLoop& loop, Decision& decision, const Config& config, std::function<void()> begin)
     : loop_(loop),
       decision_(decision),
       begin_(std::move(begin)),
-      notes_(fleet::Notes::make(config.seed)),
+      notes_(fleet::RouteGossip::make(config.seed)),
       due_(loop, [this] { turn(); }),
-      all_(place_of(config.peers_all)) {
+      all_(place_of(config.peer_broadcast)) {
   auto place = place_of(config.peer_listen);
   fd_ = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd_ < 0 || ::bind(fd_, reinterpret_cast<const sockaddr*>(&place), sizeof place) != 0) {
@@ -51,20 +51,20 @@
 }
 
 void Whisper::ready(short) {
-  notes_->begin(loop_.now());
+  notes_->begin_turn(loop_.now());
   char bytes[datagram_most + 1];
   for (int i = 0; i < a_round; ++i) {
     auto count = ::recv(fd_, bytes, sizeof bytes, 0);
     if (count <= 0) break;
     try {
-      notes_->heard(unpacked<fleet::Datagram>({bytes, static_cast<std::size_t>(count)}));
+      notes_->on_datagram(unpacked<fleet::RouteDatagram>({bytes, static_cast<std::size_t>(count)}));
     } catch (const fleet::FleetError& error) { log_line("notes: %s", error.what()); }
   }
   begin_();
 }
 
 void Whisper::turn() {
-  notes_->begin(loop_.now());
+  notes_->begin_turn(loop_.now());
   auto decided = notes_->decide();
   for (const auto& datagram : decided.datagrams) {
     auto bytes = packed(datagram);
@@ -76,14 +76,14 @@
 }
 
 void Whisper::before_turn() {
-  for (const auto& known : notes_->learned()) decision_.learn(known);
+  for (const auto& known : notes_->take_reports()) decision_.apply_route_status(known);
 }
 
 void Whisper::after_turn() {
-  auto own = decision_.knowledge(false);
+  auto own = decision_.route_statuses(false);
   if (own.empty()) return;  // what waits has its timer
-  notes_->begin(loop_.now());
-  for (const auto& known : own) notes_->tell(known);
+  notes_->begin_turn(loop_.now());
+  for (const auto& known : own) notes_->publish(known);
   turn();
 }
 
--- a/src/peer/whisper.h
+++ b/src/peer/whisper.h
@@ -9,16 +9,16 @@
 #include <memory>
 
 #include "decision/decision.h"
-#include "fleet/notes.h"
+#include "fleet/route_gossip.h"
 #include "relay/config.h"
 #include "relay/loop.h"
 
 namespace rockcrank::peer {
 
-class Whisper : public Handler {
+class Whisper : public EventHandler {
  public:
   // begin: opens a turn. Throws std::runtime_error where the address cannot be had.
-  Whisper(Loop& loop, Decision& decision, const Config& config, std::function<void()> begin);
+  Whisper(EventLoop& loop, Decision& decision, const Config& config, std::function<void()> begin);
   ~Whisper() override;
   Whisper(const Whisper&) = delete;
   Whisper& operator=(const Whisper&) = delete;
@@ -30,10 +30,10 @@
   void ready(short events) override;
   void turn();
 
-  Loop& loop_;
+  EventLoop& loop_;
   Decision& decision_;
   const std::function<void()> begin_;
-  const std::unique_ptr<fleet::Notes> notes_;
+  const std::unique_ptr<fleet::RouteGossip> notes_;
   Timer due_;
   const sockaddr_in all_;
   int fd_ = -1;
--- a/src/relay/admin.h
+++ b/src/relay/admin.h
@@ -13,17 +13,17 @@
 
 namespace rockcrank {
 
-class Admin {
+class AdminServer {
  public:
-  static constexpr std::size_t callers_most = 16;  // their descriptors, and the listener's, are set apart
+  static constexpr std::size_t max_connections = 16;  // their descriptors, and the listener's, are set apart
 
-  Admin(Loop& loop, const Address& at);
-  ~Admin();
+  AdminServer(EventLoop& loop, const Address& at);
+  ~AdminServer();
 
   // Each answers with a reason why not; empty: done. Not set: this process does not serve yet.
   std::function<std::string()> on_health;
   std::function<std::string()> on_metrics;  // answers with the metrics themselves
-  std::function<std::string(const std::string& endpoint, bool out)> on_out;
+  std::function<std::string(const std::string& endpoint, bool out)> on_set_offline;
 
  private:
   class Caller;
@@ -31,13 +31,13 @@
   void taken(int fd);
   void ended(std::uint64_t number);
 
-  Loop& loop_;
+  EventLoop& loop_;
   std::map<std::uint64_t, std::unique_ptr<Caller>> callers_;  // the eldest first
   std::uint64_t last_ = 0;
   Listener listener_;
 };
 
 // The same call from the command line: the line that was answered; throws where nobody answers in time.
-std::string ask_admin(const Address& at, const std::string& line);
+std::string send_admin_command(const Address& at, const std::string& line);
 
 }  // namespace rockcrank
--- a/src/relay/clients.cpp
+++ b/src/relay/clients.cpp
@@ -48,35 +48,38 @@
     hear();
   }
 
-  Client(Clients& owner, std::uint64_t number, const Kept& kept)
+  Client(Clients& owner, std::uint64_t number, const ConnectionState& kept)
       : owner_(owner),
         number_(number),
         stream_(owner.loop_, kept.stream),
         due_(owner.loop_, [this] { late(); }) {
     hear();
-    first_ = kept.asked, finishing_ = kept.finishing, input_over_ = kept.input_over, used_at_ = kept.used_at;
+    first_ = kept.has_sent_command, finishing_ = kept.closing, input_over_ = kept.input_ended,
+    used_at_ = kept.last_used_at;
     due_.set(owner_.loop_.now() + (finishing_ ? linger : whole_within));
-    if (input_over_) stream_.read_on(false);
+    if (input_over_) stream_.enable_reading(false);
+  }
+  ConnectionState keep() const {
+    return {stream_.snapshot(), has_asked(), input_over_, finishing_, used_at_};
   }
-  Kept keep() const { return {stream_.keep(), has_asked(), input_over_, finishing_, used_at_}; }
   void give_way() {
-    note_close(CloseReason::descriptors_short);
+    note_close(CloseReason::out_of_descriptors);
     stream_.close(), due_.clear();
-    owner_.ended(number_);
+    owner_.remove(number_);
   }
   void resume() {
-    if (finishing_) stream_.finish();
+    if (finishing_) stream_.close_gracefully();
     else read();
   }
 
   bool is_idle() const {
-    return answers_.empty() && stream_.unsent() == 0 && (finishing_ || stream_.received().empty());
+    return answers_.empty() && stream_.unsent_bytes() == 0 && (finishing_ || stream_.received().empty());
   }
   bool at_rest() const { return has_asked() && !finishing_ && is_idle(); }
   Millis used_at() const { return used_at_; }
   bool has_asked() const { return first_ > 0; }
   // Nothing is open, and no request has arrived that was not read yet.
-  bool may_make_way() const { return is_idle() && (finishing_ || stream_.quiet()); }
+  bool may_make_way() const { return is_idle() && (finishing_ || stream_.has_no_pending_input()); }
   // Who makes way first: those ended here, those that have not asked yet, the ones unused for longest.
   std::pair<int, Millis> merit() const { return {finishing_ ? 0 : has_asked() ? 2 : 1, used_at_}; }
 
@@ -87,14 +90,14 @@
     if (finishing_) return finish();
     go_on();
     if (input_over_) return close_if_idle();
-    if (at_rest()) owner_.thin_out();
+    if (at_rest()) owner_.evict_excess_idle();
   }
 
   // Between requests only: one that has arrived in part is still answered, if the rest can come.
   void close_if_idle() {
     if (!answers_.empty()) return;
     if (input_over_) finish();
-    else if (stream_.received().empty() && stream_.quiet()) finish(CloseReason::shutdown);
+    else if (stream_.received().empty() && stream_.has_no_pending_input()) finish(CloseReason::shutdown);
   }
 
   // At the end of this process. What has come of a command never ran, so the client may hand it in elsewhere.
@@ -107,19 +110,19 @@
  private:
   void hear() {
     stream_.on_data = [this] { read(); };
-    stream_.on_sent = [this] { go_on(); };
-    stream_.on_end = [this] {
+    stream_.on_drain = [this] { go_on(); };
+    stream_.on_close = [this] {
       if (!answers_.empty()) note_close(CloseReason::client_gone);
-      owner_.ended(number_);
+      owner_.remove(number_);
     };
     // Whoever has ended its sending still gets its answers.
-    stream_.on_input_end = [this] {
+    stream_.on_half_close = [this] {
       input_over_ = true;
       close_if_idle();
     };
   }
 
-  void note_close(CloseReason reason) { owner_.note_close(reason, number_, answers_.size()); }
+  void note_close(CloseReason reason) { owner_.record_close(reason, number_, answers_.size()); }
 
   void finish(CloseReason reason) {
     if (!finishing_) note_close(reason);
@@ -129,19 +132,19 @@
   void finish() {
     if (!std::exchange(finishing_, true)) due_.set(owner_.loop_.now() + linger);
     pass_on();
-    if (answers_.empty()) stream_.finish();
+    if (answers_.empty()) stream_.close_gracefully();
   }
 
   // Guards against clients that stay silent, send half a command, do not read, or never end a connection that
   // was ended here: each would hold its descriptor for good. One with an open request is waited for.
   void late() {
-    if (answers_.empty() && (finishing_ || stream_.unsent() > 0)) {
-      if (stream_.unsent() > 0) note_close(CloseReason::not_reading);
-      return owner_.ended(number_);
+    if (answers_.empty() && (finishing_ || stream_.unsent_bytes() > 0)) {
+      if (stream_.unsent_bytes() > 0) note_close(CloseReason::not_reading);
+      return owner_.remove(number_);
     }
     if (!answers_.empty()) return due_.set(owner_.loop_.now() + linger);
     if (has_asked() && stream_.received().empty()) return;  // at rest: closed only to make room
-    if (stream_.received().empty()) return finish(CloseReason::never_asked);
+    if (stream_.received().empty()) return finish(CloseReason::no_command);
     answers_.emplace_back("-ERR incomplete command\r\n");
     finish(CloseReason::incomplete_command);
   }
@@ -149,11 +152,11 @@
   void go_on() {
     if (reading_ || finishing_ || paused()) return;
     reading_ = true;
-    stream_.read_on(!input_over_);
+    stream_.enable_reading(!input_over_);
     read();
   }
 
-  bool paused() const { return answers_.size() >= unanswered_most || stream_.unsent() >= unsent_most; }
+  bool paused() const { return answers_.size() >= unanswered_most || stream_.unsent_bytes() >= unsent_most; }
 
   void pass_on() {
     std::string out;
@@ -168,15 +171,15 @@
   void read() {
     used_at_ = owner_.loop_.now();
     auto before = first_ + answers_.size();
-    while (stream_.state() == Stream::State::up && !finishing_) {
+    while (stream_.state() == Stream::State::connected && !finishing_) {
       // Guards against hundreds of commands at once whose answers are all there: they go before any pause.
       pass_on();
       if (paused()) {
         reading_ = false;
         due_.set(used_at_ + whole_within);
-        return stream_.read_on(false);
+        return stream_.enable_reading(false);
       }
-      auto command = read_command(stream_.received(), words_most, command_most);
+      auto command = parse_command(stream_.received(), words_most, command_most);
       if (command.state == Command::State::partial) break;
       answers_.emplace_back();
       auto number = first_ + answers_.size() - 1;
@@ -184,13 +187,13 @@
         answers_.back() = "-ERR malformed command\r\n";
         return finish(CloseReason::malformed_command);
       }
-      carry_out(command.words, number);
+      carry_out(command.arguments, number);
       stream_.consume(command.size);
     }
     pass_on();
     if (!finishing_ && before != first_ + answers_.size()) due_.set(used_at_ + whole_within);
     if (owner_.closing_) return close_if_idle();
-    if (at_rest()) owner_.thin_out();
+    if (at_rest()) owner_.evict_excess_idle();
   }
 
   void carry_out(const std::vector<std::string_view>& words, std::uint64_t number) {
@@ -199,7 +202,7 @@
     if (is(words[0], "PING")) return say("+PONG\r\n");
     if (!is(words[0], "ENQUEUE")) return say("-ERR unknown command\r\n");
     if (words.size() != 5) return say("-ERR ENQUEUE takes key, id, list and body\r\n");
-    owner_.on_document({words[1], words[2], words[3], words[4]}, {number_, number});
+    owner_.on_enqueue({words[1], words[2], words[3], words[4]}, {number_, number});
   }
 
   Clients& owner_;
@@ -212,62 +215,62 @@
   Millis used_at_ = 0;
 };
 
-Clients::Clients(Loop& loop, const Address& at, int passed_socket, const Limits& limits)
-    : loop_(loop), limits_(limits), full_(loop, [this] { make_room(); }) {
-  auto take_one = [this](int fd) { taken(fd); };
+Clients::Clients(EventLoop& loop, const Address& at, int passed_socket, const Limits& limits)
+    : loop_(loop), limits_(limits), full_timer_(loop, [this] { evict_or_pause(); }) {
+  auto take_one = [this](int fd) { on_accept(fd); };
   listener_ = passed_socket >= 0 ? std::make_unique<Listener>(loop_, passed_socket, take_one)
                                  : std::make_unique<Listener>(loop_, at, take_one);
 }
 
-std::vector<Clients::Kept> Clients::keep() const {
-  std::vector<Kept> all;
+std::vector<Clients::ConnectionState> Clients::export_connections() const {
+  std::vector<ConnectionState> all;
   for (const auto& [number, client] : clients_) all.push_back(client->keep());
   return all;
 }
 
-void Clients::take(const std::vector<Kept>& kept) {
+void Clients::import_connections(const std::vector<ConnectionState>& kept) {
   for (const auto& one : kept) {
-    auto number = ++last_;
+    auto number = ++last_client_;
     clients_[number] = std::make_unique<Client>(*this, number, one);
   }
 }
 
 // Each may end, and go, meanwhile.
 template <typename Taker>
-void Clients::each(Taker take) {
+void Clients::for_each(Taker take) {
   std::vector<std::uint64_t> numbers;
   for (const auto& [number, client] : clients_) numbers.push_back(number);
   for (auto number : numbers)
     if (auto found = clients_.find(number); found != clients_.end()) take(*found->second);
 }
 
-void Clients::go_on() {
-  each([](Client& client) { client.resume(); });
+void Clients::resume_reading() {
+  for_each([](Client& client) { client.resume(); });
 }
 
-void Clients::give_room() {
-  each([](Client& client) {
+void Clients::close_idle() {
+  for_each([](Client& client) {
     if (client.has_asked() && client.may_make_way()) client.give_way();
   });
 }
 
 Clients::~Clients() = default;
 
-void Clients::taken(int fd) {
-  auto number = ++last_;
+void Clients::on_accept(int fd) {
+  auto number = ++last_client_;
   clients_[number] = std::make_unique<Client>(*this, number, fd);
-  if (clients_.size() >= limits_.connections_most) make_room();
+  if (clients_.size() >= limits_.max_connections) evict_or_pause();
 }
 
 // Guards against connections that are kept open unused until no other client gets in: one ended here, one
 // that has not asked in a while, or the one unused for longest is closed between two requests. One just come
 // may have its first request on the way; only while such fill half of the places do those that have asked
 // stay. With none to close, further ones wait in the queue.
-void Clients::make_room() {
-  if (!listener_ || clients_.size() < limits_.connections_most) return;
+void Clients::evict_or_pause() {
+  if (!listener_ || clients_.size() < limits_.max_connections) return;
   auto fresh =
       std::count_if(clients_.begin(), clients_.end(), [](const auto& at) { return !at.second->has_asked(); });
-  bool flood = 2 * static_cast<std::size_t>(fresh) > limits_.connections_most;
+  bool flood = 2 * static_cast<std::size_t>(fresh) > limits_.max_connections;
   const Client* oldest = nullptr;
   std::uint64_t number = 0;
   for (const auto& [other, client] : clients_) {
@@ -277,16 +280,16 @@
       oldest = client.get(), number = other;
   }
   if (oldest) {
-    note_close(CloseReason::made_room, number, 0);
-    return ended(number);
+    record_close(CloseReason::evicted, number, 0);
+    return remove(number);
   }
-  listener_->pause(true);
-  full_.set(loop_.now() + look_again);
+  listener_->set_paused(true);
+  full_timer_.set(loop_.now() + look_again);
 }
 
 // Guards against clients that ask once and hold their connection: they may hold only so many, and once all of
 // those rest here, nobody asks any more. Beyond the bound the one at rest for longest is closed.
-void Clients::thin_out() {
+void Clients::evict_excess_idle() {
   std::size_t at_rest = 0;
   const Client* oldest = nullptr;
   std::uint64_t number = 0;
@@ -294,38 +297,39 @@
     if (!client->at_rest()) continue;
     if (++at_rest == 1 || client->used_at() < oldest->used_at()) oldest = client.get(), number = other;
   }
-  if (at_rest <= limits_.at_rest_most || !oldest->may_make_way()) return;
-  note_close(CloseReason::too_many_at_rest, number, 0);
-  ended(number);
+  if (at_rest <= limits_.max_idle || !oldest->may_make_way()) return;
+  record_close(CloseReason::too_many_idle, number, 0);
+  remove(number);
 }
 
-void Clients::note_close(CloseReason reason, std::uint64_t number, std::size_t unanswered) {
-  ++closed_[static_cast<std::size_t>(reason)];
+void Clients::record_close(CloseReason reason, std::uint64_t number, std::size_t unanswered) {
+  ++closed_counts_[static_cast<std::size_t>(reason)];
   log_line("event=client_closed client=%llu reason=%s unanswered=%zu connections=%zu", 0ULL + number,
            name_of(reason), unanswered, clients_.size());
 }
 
-void Clients::ended(std::uint64_t number) {
+void Clients::remove(std::uint64_t number) {
   auto found = clients_.find(number);
   if (found == clients_.end()) return;
-  loop_.bury(std::move(found->second));
+  loop_.defer_delete(std::move(found->second));
   clients_.erase(found);
-  if (listener_ && clients_.size() < limits_.connections_most) listener_->pause(false), full_.clear();
+  if (listener_ && clients_.size() < limits_.max_connections)
+    listener_->set_paused(false), full_timer_.clear();
 }
 
-void Clients::answer(AnswerTo to, const std::string& text) {
-  if (auto found = clients_.find(to.client); found != clients_.end()) found->second->answer(to.number, text);
+void Clients::reply(ReplyTo to, const std::string& text) {
+  if (auto found = clients_.find(to.client); found != clients_.end()) found->second->answer(to.command, text);
 }
 
 void Clients::stop_listening() { listener_.reset(); }
 
-void Clients::close_after_answers() {
+void Clients::close_after_replies() {
   closing_ = true;
-  each([](Client& client) { client.close_if_idle(); });
+  for_each([](Client& client) { client.close_if_idle(); });
 }
 
 void Clients::close_now() {
-  each([](Client& client) { client.close_now(); });
+  for_each([](Client& client) { client.close_now(); });
 }
 
 }  // namespace rockcrank
--- a/src/relay/config.cpp
+++ b/src/relay/config.cpp
@@ -28,7 +28,7 @@
 }
 
 // Nested JSON as the paths that the simulator's first message uses for the same settings.
-void flatten(const Json& value, const std::string& path, Pairs& pairs) {
+void flatten(const Json& value, const std::string& path, KeyValues& pairs) {
   auto under = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
   if (value.is_object()) {
     for (const auto& [name, inner] : value.items()) flatten(inner, under(name), pairs);
@@ -128,8 +128,8 @@
 // Kinds and halls are numbers in all that is held and listed, so a change of them waits for the next start;
 // tenants may come and go, and those known keep their numbers.
 void keep_numbers(const Config& before, Config& config) {
-  config.kinds = before.kinds, config.settings.kinds = before.settings.kinds;
-  config.halls = before.halls, config.settings.hall = before.settings.hall;
+  config.kinds = before.kinds, config.settings.destination_kinds = before.settings.destination_kinds;
+  config.zones = before.zones, config.settings.zone = before.settings.zone;
   auto tenants = before.tenants;
   auto rates = before.settings.tenant_rates;
   for (const auto& [name, number] : config.tenants) {
@@ -155,26 +155,26 @@
 
 }  // namespace
 
-ListAnswer Config::to_list(const Json& answer) const {
-  ListAnswer list;
+EndpointListUpdate Config::parse_endpoint_list(const Json& answer) const {
+  EndpointListUpdate list;
   list.version = answer.at("rev").get<std::int64_t>();
-  list.whole = answer.at("all").get<bool>();
+  list.full = answer.at("all").get<bool>();
   for (const auto& target : answer.at("targets")) try {
-      Listed listed;
+      ListedEndpoint listed;
       auto state = target.at("state").get<std::string>();
-      listed.entry.endpoint = EndpointId(hash_of(target.at("uid").get<std::string>()));
+      listed.entry.endpoint = EndpointId(fnv1a_hash(target.at("uid").get<std::string>()));
       // One that drains or is gone may be told by its name alone.
       bool needed = state == "Ready";
       if (needed || target.contains("pod_group"))
         listed.entry.destination = DestinationId(target.at("pod_group").get<std::uint64_t>());
       listed.entry.kind = number_of(kinds, target, "model");
-      listed.entry.hall = number_of(halls, target, "az");
-      listed.entry.standing = needed            ? Standing::listed
-                              : state == "Gone" ? Standing::gone
-                                                : Standing::draining;
+      listed.entry.zone = number_of(zones, target, "az");
+      listed.entry.status = needed            ? EndpointStatus::ready
+                            : state == "Gone" ? EndpointStatus::gone
+                                              : EndpointStatus::draining;
       listed.entry.listed_rate = target.value("capacity_hint", 0.0);
       if (needed || target.contains("endpoint"))
-        listed.address = address_of(target.at("endpoint").get<std::string>());
+        listed.address = parse_address(target.at("endpoint").get<std::string>());
       list.entries.push_back(std::move(listed));
     } catch (const std::exception& error) {
       log_line("list: an entry is left out: %s", error.what());  // the others still hold
@@ -182,17 +182,17 @@
   return list;
 }
 
-std::map<std::string, Repeat> Config::repeats() const {
-  std::map<std::string, Repeat> repeats;
-  for (const auto& [name, type] : doc_types) repeats[name] = type.repeat;
+std::map<std::string, RetrySafety> Config::repeats() const {
+  std::map<std::string, RetrySafety> repeats;
+  for (const auto& [name, type] : doc_types) repeats[name] = type.retry_safety;
   return repeats;
 }
 
-Address admin_address() {
+Address read_admin_address() {
   auto at = environment("BALANCER_ADMIN");
   if (at.empty()) at = read_file().value("admin", "");
   if (at.empty()) throw std::runtime_error("neither BALANCER_ADMIN nor 'admin' is told");
-  return address_of(at);
+  return parse_address(at);
 }
 
 Config read_config(const Config* before) {
@@ -206,40 +206,40 @@
   };
   Config config;
   config.name = told("BALANCER_NAME", "name");
-  config.listen = address_of(told("BALANCER_LISTEN", "listen"));
+  config.listen = parse_address(told("BALANCER_LISTEN", "listen"));
   // The file is what is replaced while the relay runs, so its own word on discovery comes first.
   auto discovery = json.value("discovery", "");
-  config.discovery = address_of(discovery.empty() ? told("BALANCER_DISCOVERY", "discovery") : discovery);
+  config.discovery = parse_address(discovery.empty() ? told("BALANCER_DISCOVERY", "discovery") : discovery);
   if (auto passed = environment("BALANCER_PASSED_SOCKET"); !passed.empty())
-    config.passed_socket = static_cast<int>(to_integer(passed, "BALANCER_PASSED_SOCKET", 0, 1 << 20));
+    config.inherited_socket = static_cast<int>(parse_integer(passed, "BALANCER_PASSED_SOCKET", 0, 1 << 20));
   config.state_folder = told("BALANCER_STATE", "state");
   config.fleet_file = said(json, "BALANCER_FLEET", "fleet");
   auto seed = json.find("seed");
-  if (seed != json.end()) config.seed = hash_of(plain(*seed));
+  if (seed != json.end()) config.seed = fnv1a_hash(plain(*seed));
   auto limits = json.value("limits", Json::object());
   auto sockets = limits.value("sockets", std::size_t{256});
   rlimit files{};
   if (getrlimit(RLIMIT_NOFILE, &files) == 0)
     sockets = std::min(sockets, static_cast<std::size_t>(files.rlim_cur));
   auto admin = said(json, "BALANCER_ADMIN", "admin");
-  if (!admin.empty()) config.admin = address_of(admin);
-  auto spare = spare_descriptors + (admin.empty() ? 0 : Admin::callers_most + 1);
+  if (!admin.empty()) config.admin = parse_address(admin);
+  auto spare = spare_descriptors + (admin.empty() ? 0 : AdminServer::max_connections + 1);
   if (sockets < spare + 4) throw std::runtime_error("too few sockets: " + std::to_string(sockets));
-  config.client_connections = (sockets - spare) / 2;
-  config.clients_at_rest = sockets / 6;  // half of what the platform lets clients hold for requests
-  config.endpoint_connections = sockets - spare - config.client_connections;
-  config.disk_bytes = static_cast<std::size_t>(limits.value("disk_mb", 1.0) * 1e6);
+  config.max_client_connections = (sockets - spare) / 2;
+  config.max_idle_clients = sockets / 6;  // half of what the platform lets clients hold for requests
+  config.max_endpoint_connections = sockets - spare - config.max_client_connections;
+  config.max_disk_bytes = static_cast<std::size_t>(limits.value("disk_mb", 1.0) * 1e6);
   check(json);
-  config.keys = keys_of(json);
-  for (const auto& key : before ? before->keys : std::set<std::string>{})
-    if (!config.keys.count(key)) throw std::runtime_error("the key " + key + " is missing");
-  Pairs pairs;
+  config.required_keys = keys_of(json);
+  for (const auto& key : before ? before->required_keys : std::set<std::string>{})
+    if (!config.required_keys.count(key)) throw std::runtime_error("the key " + key + " is missing");
+  KeyValues pairs;
   flatten(json.at("settings"), "", pairs);
   config.settings = decode_settings(pairs);
   // No more calls can be out than there are sockets for them.
-  config.settings.slots = std::min(config.settings.slots, static_cast<int>(config.endpoint_connections));
-  config.settings.ends_acknowledged = true;  // a notice is a call to the agent
-  config.settings.list_on_request = true;    // on sockets the list changes only for those who watch it
+  config.settings.slots = std::min(config.settings.slots, static_cast<int>(config.max_endpoint_connections));
+  config.settings.end_reports_acknowledged = true;  // a notice is a call to the agent
+  config.settings.discovery_on_request = true;      // on sockets the list changes only for those who watch it
   auto names = [&](const std::string& list) {
     std::vector<std::string_view> found;
     for (int i = 0; i < pairs.count(list + ".count"); ++i)
@@ -250,23 +250,23 @@
   for (std::size_t i = 0; i < types.size(); ++i)
     config.doc_types[std::string(types[i])] = config.settings.doc_types.at(i);
   config.tenants = numbered_names<TenantId>(names("orgs"));
-  config.kinds = numbered_names<KindId>(pairs.list("skus"));
-  config.halls = numbered_names<HallId>(pairs.list("zones"));
+  config.kinds = numbered_names<DestinationKindId>(pairs.list("skus"));
+  config.zones = numbered_names<ZoneId>(pairs.list("zones"));
   if (before) keep_numbers(*before, config);
-  config.notes_allowed =
+  config.gossip_allowed =
       pairs.flag("limits.peerMessages") && json.contains("peer_listen") && json.contains("peers_all");
-  if (config.notes_allowed) {
-    config.peer_listen = address_of(json["peer_listen"].get<std::string>());
-    config.peers_all = address_of(json["peers_all"].get<std::string>());
+  if (config.gossip_allowed) {
+    config.peer_listen = parse_address(json["peer_listen"].get<std::string>());
+    config.peer_broadcast = parse_address(json["peers_all"].get<std::string>());
   }
-  config.idle_life = pairs.time("limits.keepaliveUs");
+  config.idle_timeout = pairs.duration("limits.keepaliveUs");
   if (auto known = json.find("known"); known != json.end() && known->is_object())
-    config.known = config.to_list(*known);
+    config.known_endpoints = config.parse_endpoint_list(*known);
   for (const char* changing : {"discovery", "known", "seed", "admin"}) json.erase(changing);
   Json numbered{json["settings"].value("skus", Json{}), json["settings"].value("zones", Json{})};
   json["settings"] = numbered;
-  config.numbering = before ? before->numbering : std::to_string(hash_of(numbered.dump()));
-  config.rest_sum = hash_of(json.dump());
+  config.numbering_hash = before ? before->numbering_hash : std::to_string(fnv1a_hash(numbered.dump()));
+  config.restart_only_hash = fnv1a_hash(json.dump());
   return config;
 }
 
--- a/src/relay/discovery.h
+++ b/src/relay/discovery.h
@@ -17,15 +17,16 @@
 namespace rockcrank {
 
 // One request after another on one kept connection to the agent.
-class Asker {
+class AgentClient {
  public:
-  Asker(Loop& loop, const Address& agent) : loop_(loop), agent_(agent), timer_(loop, [this] { fail(); }) {}
-  std::function<void(const HttpAnswer&)> on_answer;  // may ask again
+  AgentClient(EventLoop& loop, const Address& agent)
+      : loop_(loop), agent_(agent), timer_(loop, [this] { fail(); }) {}
+  std::function<void(const HttpResponse&)> on_response;  // may ask again
   std::function<void()> on_failure;
-  void ask(std::string request, Millis within);
-  void move_to(const Address& agent);  // what was asked of the old one is asked no more
-  bool asking() const { return asking_; }
-  Millis took() const { return loop_.now() - asked_at_; }  // since the last request was asked
+  void send_request(std::string request, Millis within);
+  void set_agent(const Address& agent);  // what was asked of the old one is asked no more
+  bool in_flight() const { return asking_; }
+  Millis elapsed() const { return loop_.now() - asked_at_; }  // since the last request was asked
 
  private:
   void open();
@@ -33,7 +34,7 @@
   void fail();
   void drop();
 
-  Loop& loop_;
+  EventLoop& loop_;
   Address agent_;
   Timer timer_;
   std::unique_ptr<Stream> stream_;
@@ -42,31 +43,31 @@
   bool asking_ = false, kept_ = false;
 };
 
-class Watch {
+class EndpointListWatch {
  public:
-  Watch(Loop& loop, const Address& agent);
+  EndpointListWatch(EventLoop& loop, const Address& agent);
   std::function<bool(std::string_view body)> on_list;  // takes in an answer; false: it cannot be read
   std::function<void(bool turned_away, Millis took)> on_failure;  // since its call was asked
   std::function<std::int64_t()> version;                          // of the list held; negative: none
   // So long for each answer, also where nothing changes; given up when it is so late.
-  void follow(Millis wait, Millis late);
-  void move_to(const Address& agent);  // followed there at once, from the version held
+  void start(Millis wait, Millis late);
+  void set_agent(const Address& agent);  // followed there at once, from the version held
 
  private:
   void next();
-  Asker asker_;
+  AgentClient asker_;
   Millis wait_ = 0, late_ = 0;
   bool going_ = false;  // the agent has answered, and is asked on at once
 };
 
-class Notices {
+class ReportSender {
  public:
-  Notices(Loop& loop, const Address& agent);
-  std::function<void(DocId)> on_told;
-  std::function<Millis(int)> pause_after;  // so many failures in a row
-  void tell(DocId doc, const std::string& id, bool rejected, Millis wait);
-  void move_to(const Address& agent);  // all not yet taken is told there at once
-  bool none_left() const { return waiting_.empty() && under_way_.empty(); }
+  ReportSender(EventLoop& loop, const Address& agent);
+  std::function<void(DocId)> on_acknowledged;
+  std::function<Millis(int)> backoff_after;  // so many failures in a row
+  void report(DocId doc, const std::string& id, bool rejected, Millis wait);
+  void set_agent(const Address& agent);  // all not yet taken is told there at once
+  bool all_acknowledged() const { return waiting_.empty() && under_way_.empty(); }
 
  private:
   struct Notice {
@@ -75,8 +76,8 @@
   };
   void send();
   void take_back();
-  Loop& loop_;
-  Asker asker_;
+  EventLoop& loop_;
+  AgentClient asker_;
   Timer again_;
   std::vector<Notice> waiting_, under_way_;
   int failures_ = 0;
