--- a/src/relay/endpoints.cpp
+++ b/src/relay/endpoints.cpp
@@ -16,26 +16,27 @@
 namespace {
 
 // A call can only be given up whole, so it ends with the first message in it whose time is up.
-Millis call_time_out(const std::vector<Parcel>& parcels) {
-  Millis shortest = parcels.front().time_out;
-  for (const auto& parcel : parcels) shortest = std::min(shortest, parcel.time_out);
+Millis call_time_out(const std::vector<OutboundTransmission>& parcels) {
+  Millis shortest = parcels.front().timeout;
+  for (const auto& parcel : parcels) shortest = std::min(shortest, parcel.timeout);
   return std::max(0.0, shortest);
 }
 
-std::string request_of(const std::vector<Parcel>& parcels, const std::string& host) {
+std::string request_of(const std::vector<OutboundTransmission>& parcels, const std::string& host) {
   char time_out[32];
   std::snprintf(time_out, sizeof time_out, "%.3f", call_time_out(parcels) / 1000);
   std::string body, head;
   if (parcels.size() == 1) {
     head = "POST /v1/messages HTTP/1.1\r\nRequest-Id: " + std::string(parcels[0].id) + "\r\n";
-    if (!parcels[0].mark.empty()) head += "Idempotency-Key: " + std::string(parcels[0].mark) + "\r\n";
+    if (!parcels[0].idempotency_key.empty())
+      head += "Idempotency-Key: " + std::string(parcels[0].idempotency_key) + "\r\n";
     body = parcels[0].body;
   } else {
     head = "POST /v1/messages:batch HTTP/1.1\r\nContent-Type: application/json\r\n";
     auto items = nlohmann::json::array();
     for (const auto& parcel : parcels) {
-      nlohmann::json item{{"id", parcel.id}, {"body", base64(parcel.body)}};
-      if (!parcel.mark.empty()) item["key"] = parcel.mark;
+      nlohmann::json item{{"id", parcel.id}, {"body", base64_encode(parcel.body)}};
+      if (!parcel.idempotency_key.empty()) item["key"] = parcel.idempotency_key;
       items.push_back(std::move(item));
     }
     body = items.dump();
@@ -48,91 +49,96 @@
 constexpr Millis rest_within = 500;  // of an answer whose first line has told all
 
 struct Verdict {
-  Ending ending = Ending::error;
+  TransmissionResult ending = TransmissionResult::error;
   bool over = false, spent = false;
 };
 
 // What an answer says of all documents of its call; what is not known may have run.
-Verdict verdict_of(const HttpAnswer& answer) {
+Verdict verdict_of(const HttpResponse& answer) {
   switch (answer.status) {
-    case 200: return {Ending::answered, true};
-    case 410: return {Ending::not_sent, true};
-    case 504: return {Ending::not_sent, false, true};
-    case 503: return {answer.header("X-Line-Busy") == "1" ? Ending::not_sent : Ending::refused, false};
+    case 200: return {TransmissionResult::answered, true};
+    case 410: return {TransmissionResult::not_sent, true};
+    case 504: return {TransmissionResult::not_sent, false, true};
+    case 503:
+      return {
+          answer.header("X-Line-Busy") == "1" ? TransmissionResult::not_sent : TransmissionResult::refused,
+          false};
     case 429:
     case 400:
-    case 413: return {Ending::refused, false};
-    default: return {Ending::error, false};
+    case 413: return {TransmissionResult::refused, false};
+    default: return {TransmissionResult::error, false};
   }
 }
 
 Verdict verdict_of(std::string_view state) {
-  if (state == "ok") return {Ending::answered, true};
-  if (state == "later") return {Ending::refused, false};
-  if (state == "gone") return {Ending::not_sent, true};
-  if (state == "exhausted") return {Ending::not_sent, false, true};
-  return {Ending::error, false};
+  if (state == "ok") return {TransmissionResult::answered, true};
+  if (state == "later") return {TransmissionResult::refused, false};
+  if (state == "gone") return {TransmissionResult::not_sent, true};
+  if (state == "exhausted") return {TransmissionResult::not_sent, false, true};
+  return {TransmissionResult::error, false};
 }
 
 }  // namespace
 
 // One connection and the call on it. A call is given up whole, with its connection: the endpoint cannot be
 // told that one of its messages is no longer waited for.
-class Endpoints::Line {
+class Endpoints::Connection {
  public:
-  Line(Endpoints& owner, EndpointId endpoint, const Address& address)
+  Connection(Endpoints& owner, EndpointId endpoint, const Address& address)
       : owner_(owner),
         endpoint_(endpoint),
         address_(address),
         stream_(owner.loop_, address),
         timer_(owner.loop_, [this] { due(); }),
-        connect_timer_(owner.loop_, [this] { stop(Ending::not_connected); }) {
+        connect_timer_(owner.loop_, [this] { stop(TransmissionResult::not_connected); }) {
     hear();
   }
-  Line(Endpoints& owner, const Kept& from)
+  Connection(Endpoints& owner, const ConnectionState& from)
       : owner_(owner),
         endpoint_(from.endpoint),
         address_(from.address),
         stream_(owner.loop_, from.stream),
         timer_(owner.loop_, [this] { due(); }),
-        connect_timer_(owner.loop_, [this] { stop(Ending::not_connected); }),
-        items_(from.items),
+        connect_timer_(owner.loop_, [this] { stop(TransmissionResult::not_connected); }),
+        items_(from.transmissions),
         request_(from.request),
-        several_(from.several),
-        held_(from.held),
-        hung_up_(from.hung_up),
-        trailing_(from.trailing),
-        sent_at_(from.sent_at),
+        several_(from.is_batch),
+        held_(from.deferred),
+        hung_up_(from.connection_close),
+        trailing_(from.draining),
+        sent_at_(from.started_at),
         idle_since_(from.idle_since),
-        kept_(from.kept) {
+        kept_(from.idle_before_use) {
     hear();
     watch_connect();
     if (!items_.empty()) watch_time();
     else if (trailing_) timer_.set(owner_.loop_.now() + rest_within);
     else watch_rest();
   }
-  Kept keep() const {
-    return {endpoint_, address_, stream_.keep(), items_,   request_,    several_,
-            held_,     hung_up_, trailing_,      sent_at_, idle_since_, kept_};
+  ConnectionState keep() const {
+    return {endpoint_, address_, stream_.snapshot(), items_,   request_,    several_,
+            held_,     hung_up_, trailing_,          sent_at_, idle_since_, kept_};
   }
   bool busy() const { return !items_.empty() || trailing_; }
   bool held() const { return held_ && !request_.empty(); }
-  const std::vector<Item>& items() const { return items_; }
-  ~Line() { --owner_.connections_; }
+  const std::vector<InFlightTransmission>& items() const { return items_; }
+  ~Connection() { --owner_.connections_; }
 
   EndpointId endpoint() const { return endpoint_; }
   const Address& address() const { return address_; }
-  bool lacks_descriptor() const { return stream_.lacks_descriptor(); }
+  bool lacks_descriptor() const { return stream_.out_of_resources(); }
   // Guards against a surplus, or an end, that has come but was not read yet: it would be taken for the answer
   // to the next call, or end it without one.
-  bool usable() const { return coming_up() || (stream_.received().empty() && stream_.quiet()); }
+  bool usable() const {
+    return coming_up() || (stream_.received().empty() && stream_.has_no_pending_input());
+  }
   bool coming_up() const { return stream_.state() == Stream::State::connecting; }
   Millis idle_since() const { return idle_since_; }
 
-  void begin(const std::vector<Parcel>& parcels) {
+  void begin(const std::vector<OutboundTransmission>& parcels) {
     sent_at_ = owner_.loop_.now();
     kept_ = idle_since_ > 0 && !coming_up() ? std::max(0.001, sent_at_ - idle_since_) : 0;
-    tell(Ahead::used);
+    tell(PreconnectEvent::used);
     const Millis until = sent_at_ + call_time_out(parcels);
     for (const auto& parcel : parcels)
       items_.push_back({parcel.doc, parcel.transmission, until, std::string(parcel.id)});
@@ -140,7 +146,7 @@
     request_ = request_of(parcels, address_.host + ":" + std::to_string(address_.port));
     watch_time();
     watch_connect();
-    if (stream_.state() == Stream::State::up) write();
+    if (stream_.state() == Stream::State::connected) write();
     else owner_.on_connecting(items_[0].doc, items_[0].transmission);
   }
   void begin_ahead() {
@@ -148,39 +154,41 @@
     watch_connect();
   }
   // Of one opened ahead. Its first use is the last that is told; where it never came up it failed.
-  void tell(Ahead what) {
+  void tell(PreconnectEvent what) {
     if (!ahead_) return;
-    if (what != Ahead::up) ahead_ = false;
-    if (owner_.on_ahead) owner_.on_ahead(endpoint_, what);
+    if (what != PreconnectEvent::connected) ahead_ = false;
+    if (owner_.on_preconnect) owner_.on_preconnect(endpoint_, what);
   }
-  void put_away() { tell(came_up_ ? Ahead::unused : Ahead::failed); }
+  void put_away() { tell(came_up_ ? PreconnectEvent::unused : PreconnectEvent::failed); }
   // A connection takes time to come up. Meanwhile a wait may have been told, which binds this call too, or
   // the slots been taken, which is no fault of the endpoint's.
   void go_on() {
     if (request_.empty()) return;
     // Guards against a call written after its time, or after one of its messages has been reported as over.
-    if (owner_.loop_.now() >= items_[0].until) return stop(Ending::not_connected);
-    if (std::ranges::any_of(items_, [&](const Item& item) { return owner_.is_over(item.doc); }))
-      return stop(Ending::not_sent);
+    if (owner_.loop_.now() >= items_[0].deadline) return stop(TransmissionResult::not_connected);
+    if (std::ranges::any_of(items_,
+                            [&](const InFlightTransmission& item) { return owner_.is_finished(item.doc); }))
+      return stop(TransmissionResult::not_sent);
     auto may = owner_.may_begin(items_[0].doc, items_[0].transmission);
-    held_ = may == MayBegin::later;
-    if (held_) owner_.ready_.emplace_back(items_[0].doc, items_[0].transmission);
-    else if (may == MayBegin::now) write();
-    else stop(Ending::not_sent);
+    held_ = may == SendPermission::later;
+    if (held_) owner_.deferred_.emplace_back(items_[0].doc, items_[0].transmission);
+    else if (may == SendPermission::now) write();
+    else stop(TransmissionResult::not_sent);
   }
   // No socket was to be had, or the connection was turned down on the spot.
-  bool stillborn() const { return stream_.state() == Stream::State::ended; }
+  bool stillborn() const { return stream_.state() == Stream::State::closed; }
   // The connection is given up; a call that was not wholly written never ran.
-  void stop(Ending ending) {
+  void stop(TransmissionResult ending) {
     bool never = unwritten();
-    if (never && (ending == Ending::broken || ending == Ending::timed_out)) ending = Ending::not_connected;
-    if (never && (held_ || ending == Ending::called_off)) ending = Ending::not_sent;
+    if (never && (ending == TransmissionResult::connection_lost || ending == TransmissionResult::timed_out))
+      ending = TransmissionResult::not_connected;
+    if (never && (held_ || ending == TransmissionResult::canceled)) ending = TransmissionResult::not_sent;
     end_all({ending, false}, 0, {});
-    owner_.drop(*this);
+    owner_.discard(*this);
   }
 
   void call_off() {
-    if (!ended_by_what_came()) stop(Ending::called_off);
+    if (!ended_by_what_came()) stop(TransmissionResult::canceled);
   }
 
   void shut() { stream_.close(), timer_.clear(), connect_timer_.clear(); }
@@ -192,39 +200,39 @@
   void watch_rest() {
     // Closed before the endpoint does: its clock began a crossing earlier, and a request needs one more. The
     // call that has just ended took at least both.
-    if (owner_.limits_.idle_life > 0)
-      timer_.set(idle_since_ + std::max(0.0, owner_.limits_.idle_life - (idle_since_ - sent_at_)));
+    if (owner_.limits_.idle_timeout > 0)
+      timer_.set(idle_since_ + std::max(0.0, owner_.limits_.idle_timeout - (idle_since_ - sent_at_)));
   }
 
  private:
   void hear() {
     ++owner_.connections_;
-    stream_.on_up = [this] {
+    stream_.on_connected = [this] {
       connect_timer_.clear();
       came_up_ = true;
-      if (items_.empty()) return owner_.rest_ahead(*this);
+      if (items_.empty()) return owner_.release_preconnected(*this);
       go_on();
     };
     stream_.on_data = [this] { read(false); };
-    stream_.on_end = [this] { read(true); };
+    stream_.on_close = [this] { read(true); };
   }
 
   // Whether the endpoint cannot have the whole call: until its last byte is written, it never ran.
-  bool unwritten() const { return !request_.empty() || stream_.unsent() > 0; }
+  bool unwritten() const { return !request_.empty() || stream_.unsent_bytes() > 0; }
 
   void write() {
-    if (!owner_.on_writing(endpoint_, items_)) return stop(Ending::not_sent);
+    if (!owner_.before_write(endpoint_, items_)) return stop(TransmissionResult::not_sent);
     stream_.send(std::exchange(request_, {}));
   }
 
   void watch_connect() {
-    if (stream_.state() == Stream::State::connecting && owner_.limits_.connect_within > 0)
-      connect_timer_.set(sent_at_ + owner_.limits_.connect_within);
+    if (stream_.state() == Stream::State::connecting && owner_.limits_.connect_timeout > 0)
+      connect_timer_.set(sent_at_ + owner_.limits_.connect_timeout);
   }
 
   void watch_time() {
     if (items_.empty()) return;
-    timer_.set(std::ranges::min_element(items_, {}, &Item::until)->until);
+    timer_.set(std::ranges::min_element(items_, {}, &InFlightTransmission::deadline)->deadline);
   }
 
   // Guards against losing an answer, or a break, that came after this round's poll(): it was first.
@@ -234,68 +242,69 @@
   }
 
   void due() {
-    if (items_.empty()) return owner_.drop(*this);  // idle, or trailing, for long enough
-    if (stream_.state() == Stream::State::connecting) return stop(Ending::not_connected);
+    if (items_.empty()) return owner_.discard(*this);  // idle, or trailing, for long enough
+    if (stream_.state() == Stream::State::connecting) return stop(TransmissionResult::not_connected);
     if (ended_by_what_came()) return;
     // Guards against a message reported as over while its call goes on: an endpoint may still run it, and
     // would have the rest of the call answered for nobody.
-    stop(Ending::timed_out);
+    stop(TransmissionResult::timed_out);
   }
 
-  void end_one(const Item& item, Verdict verdict, Millis wait, const Hints& hints) {
+  void end_one(const InFlightTransmission& item, Verdict verdict, Millis wait, const LoadHints& hints) {
     Outcome outcome;
     outcome.doc = item.doc, outcome.transmission = item.transmission, outcome.endpoint = endpoint_;
-    outcome.ending = verdict.ending, outcome.over = verdict.over, outcome.spent = verdict.spent;
-    outcome.took = owner_.loop_.now() - sent_at_;
-    outcome.wait = wait, outcome.hints = hints, outcome.kept = kept_, outcome.hung_up = hung_up_;
-    owner_.under_way_.erase({item.doc, item.transmission});
+    outcome.result = verdict.ending, outcome.completed = verdict.over, outcome.exhausted = verdict.spent;
+    outcome.duration = owner_.loop_.now() - sent_at_;
+    outcome.retry_after = wait, outcome.hints = hints, outcome.connection_idle_time = kept_,
+    outcome.connection_closed = hung_up_;
+    owner_.in_flight_.erase({item.doc, item.transmission});
     owner_.on_outcome(outcome);
   }
 
   template <typename VerdictOf>
-  void end_each(VerdictOf verdict_of_item, Millis wait, const Hints& hints) {
+  void end_each(VerdictOf verdict_of_item, Millis wait, const LoadHints& hints) {
     auto items = std::exchange(items_, {});
     timer_.clear(), connect_timer_.clear();
     for (const auto& item : items) end_one(item, verdict_of_item(item), wait, hints);
   }
-  void end_all(Verdict verdict, Millis wait, const Hints& hints) {
-    end_each([&](const Item&) { return verdict; }, wait, hints);
+  void end_all(Verdict verdict, Millis wait, const LoadHints& hints) {
+    end_each([&](const InFlightTransmission&) { return verdict; }, wait, hints);
   }
 
   void read(bool ended) {
-    if (items_.empty() && !trailing_) return owner_.drop(*this);  // an idle connection has nothing to say
-    auto answer = read_answer(stream_.received(), body_most, ended);
-    using State = HttpAnswer::State;
-    bool partial = answer.state == State::partial && !ended, whole = answer.state == State::whole;
+    if (items_.empty() && !trailing_) return owner_.discard(*this);  // an idle connection has nothing to say
+    auto answer = parse_response(stream_.received(), max_body_bytes, ended);
+    using State = HttpResponse::State;
+    bool partial = answer.state == State::partial && !ended, whole = answer.state == State::complete;
     // A 200 in the first line is true for a single document, whatever becomes of the rest. Guards against
     // heads and bodies that never end: the document is over at once, the connection has the call's time to
     // end well.
     bool true_already = !several_ && answer.status == 200;
     if (partial && (!true_already || trailing_)) return;
     // Any other answer that cannot be read whole tells nothing: its first line may be spoilt too.
-    if (!whole && !true_already) return stop(Ending::broken);
+    if (!whole && !true_already) return stop(TransmissionResult::connection_lost);
     if (!std::exchange(trailing_, partial)) tell(answer);
     // Guards against answers that stop short: the endpoint counts such a call as out until its connection
     // ends.
     if (partial) return timer_.set(owner_.loop_.now() + rest_within);
-    if (!whole || answer.closes || ended || unwritten()) return owner_.drop(*this);
+    if (!whole || answer.closes_connection || ended || unwritten()) return owner_.discard(*this);
     stream_.consume(answer.size);
-    if (!stream_.received().empty()) return owner_.drop(*this);
-    owner_.rest(*this);
+    if (!stream_.received().empty()) return owner_.discard(*this);
+    owner_.release(*this);
   }
 
-  void tell(const HttpAnswer& answer) {
+  void tell(const HttpResponse& answer) {
     Millis wait = 0;
-    Hints hints;
+    LoadHints hints;
     try {
       if (auto text = answer.header("Retry-After"); !text.empty())
-        wait = std::max(0.0, std::ceil(1000 * to_number(text, "Retry-After")));
-      if (auto text = answer.header("Server-Load"); !text.empty()) hints = hints_of(text, '=');
-    } catch (const Fault& fault) {
+        wait = std::max(0.0, std::ceil(1000 * parse_number(text, "Retry-After")));
+      if (auto text = answer.header("Server-Load"); !text.empty()) hints = parse_hints(text, '=');
+    } catch (const ParseError& fault) {
       log_line("answer of %llx: %s", static_cast<unsigned long long>(endpoint_), fault.what());
     }
     auto all = verdict_of(answer);
-    hung_up_ = answer.closes;
+    hung_up_ = answer.closes_connection;
     if (!several_ || answer.status != 200) return end_all(all, wait, hints);
     auto states = nlohmann::json::parse(answer.body(), nullptr, false);
     std::map<std::string, Verdict> verdicts;
@@ -303,10 +312,10 @@
       if (state.is_object() && state.contains("id") && state["id"].is_string() && state.contains("state") &&
           state["state"].is_string())
         verdicts[state["id"].get<std::string>()] = verdict_of(state["state"].get<std::string>());
-    auto told = [&](const Item& item) {
+    auto told = [&](const InFlightTransmission& item) {
       auto found = verdicts.find(item.id);
       // A document that the answer leaves out may have run.
-      return found == verdicts.end() ? Verdict{Ending::error, false} : found->second;
+      return found == verdicts.end() ? Verdict{TransmissionResult::error, false} : found->second;
     };
     end_each(told, wait, hints);
   }
@@ -316,7 +325,7 @@
   const Address address_;
   Stream stream_;
   Timer timer_, connect_timer_;
-  std::vector<Item> items_;
+  std::vector<InFlightTransmission> items_;
   std::string request_;
   bool several_ = false;
   bool held_ = false;                     // up, but told to begin later
@@ -326,27 +335,27 @@
   Millis sent_at_ = 0, idle_since_ = 0, kept_ = 0;
 };
 
-Endpoints::Endpoints(Loop& loop, const Limits& limits) : loop_(loop), limits_(limits) {}
+Endpoints::Endpoints(EventLoop& loop, const Limits& limits) : loop_(loop), limits_(limits) {}
 Endpoints::~Endpoints() = default;
 
 // A document's part of a bundle: base64, and the names around it.
-std::size_t Endpoints::bundled_bytes(std::string_view id, std::string_view mark, std::string_view body) {
+std::size_t Endpoints::batch_item_bytes(std::string_view id, std::string_view mark, std::string_view body) {
   return (body.size() + 2) / 3 * 4 + id.size() + mark.size() + 40;
 }
 
-void Endpoints::retune(Millis connect_within, Millis idle_life) {
-  limits_.connect_within = connect_within, limits_.idle_life = idle_life;
+void Endpoints::set_timeouts(Millis connect_within, Millis idle_life) {
+  limits_.connect_timeout = connect_within, limits_.idle_timeout = idle_life;
 }
 
-void Endpoints::locate(EndpointId endpoint, const Address& address) {
-  Place& place = places_[endpoint];
+void Endpoints::set_address(EndpointId endpoint, const Address& address) {
+  Pool& place = pools_[endpoint];
   if (place.address != address) close_idle(endpoint);
   place.address = address;
 }
 
-void Endpoints::call(EndpointId endpoint, const std::vector<Parcel>& parcels) {
-  Place& place = places_.at(endpoint);
-  std::unique_ptr<Line> line;
+void Endpoints::call(EndpointId endpoint, const std::vector<OutboundTransmission>& parcels) {
+  Pool& place = pools_.at(endpoint);
+  std::unique_ptr<Connection> line;
   // One that is up goes before one that is coming up.
   for (bool coming_up : {false, true})
     for (auto at = place.idle.begin(); at != place.idle.end() && !line;) {
@@ -356,149 +365,149 @@
       }
       auto kept = std::move(*at);
       at = place.idle.erase(at);
-      if (kept->usable() && loop_.now() - kept->idle_since() <= idle_most) line = std::move(kept);
-      else put_away(std::move(kept));
+      if (kept->usable() && loop_.now() - kept->idle_since() <= max_idle_time) line = std::move(kept);
+      else discard_idle(std::move(kept));
     }
   bool fresh = !line;
-  bool room = !fresh || make_room();
-  if (fresh) line = std::make_unique<Line>(*this, endpoint, place.address);
-  Line& used = *line;
-  busy_[&used] = std::move(line);
-  for (const auto& parcel : parcels) under_way_[{parcel.doc, parcel.transmission}] = &used;
+  bool room = !fresh || ensure_capacity();
+  if (fresh) line = std::make_unique<Connection>(*this, endpoint, place.address);
+  Connection& used = *line;
+  active_[&used] = std::move(line);
+  for (const auto& parcel : parcels) in_flight_[{parcel.doc, parcel.transmission}] = &used;
   used.begin(parcels);
-  if (!room || used.lacks_descriptor()) used.stop(Ending::not_sent);
-  else if (fresh && used.stillborn()) used.stop(Ending::not_connected);
+  if (!room || used.lacks_descriptor()) used.stop(TransmissionResult::not_sent);
+  else if (fresh && used.stillborn()) used.stop(TransmissionResult::not_connected);
 }
 
-bool Endpoints::open_ahead(EndpointId endpoint) {
-  auto place = places_.find(endpoint);
-  if (place == places_.end() || connections_ >= limits_.connections_most) return false;
-  auto line = std::make_unique<Line>(*this, endpoint, place->second.address);
-  if (line->stillborn()) return loop_.bury(std::move(line)), false;
+bool Endpoints::preconnect(EndpointId endpoint) {
+  auto place = pools_.find(endpoint);
+  if (place == pools_.end() || connections_ >= limits_.max_connections) return false;
+  auto line = std::make_unique<Connection>(*this, endpoint, place->second.address);
+  if (line->stillborn()) return loop_.defer_delete(std::move(line)), false;
   line->begin_ahead();
   place->second.idle.push_front(std::move(line));
   return true;
 }
 
-void Endpoints::rest_ahead(Line& line) {
-  auto place = places_.find(line.endpoint());
-  if (place == places_.end()) return;  // put away in this round
+void Endpoints::release_preconnected(Connection& line) {
+  auto place = pools_.find(line.endpoint());
+  if (place == pools_.end()) return;  // put away in this round
   auto& idle = place->second.idle;
   auto found = std::find_if(idle.begin(), idle.end(), [&](const auto& one) { return one.get() == &line; });
   if (found == idle.end()) return;
   idle.splice(idle.begin(), idle, found);  // idle from now on
-  line.rested(), line.tell(Ahead::up);
+  line.rested(), line.tell(PreconnectEvent::connected);
 }
 
-void Endpoints::put_away(std::unique_ptr<Line> line) {
+void Endpoints::discard_idle(std::unique_ptr<Connection> line) {
   line->put_away();
-  loop_.bury(std::move(line));
+  loop_.defer_delete(std::move(line));
 }
 
 int Endpoints::connections(EndpointId endpoint) const {
-  auto place = places_.find(endpoint);
-  auto busy = std::count_if(busy_.begin(), busy_.end(),
+  auto place = pools_.find(endpoint);
+  auto busy = std::count_if(active_.begin(), active_.end(),
                             [&](const auto& one) { return one.first->endpoint() == endpoint; });
-  return static_cast<int>(busy + (place == places_.end() ? 0 : std::ssize(place->second.idle)));
+  return static_cast<int>(busy + (place == pools_.end() ? 0 : std::ssize(place->second.idle)));
 }
 
-std::vector<Endpoints::Kept> Endpoints::keep() const {
-  std::vector<Kept> all;
-  for (const auto& [line, owned] : busy_) all.push_back(line->keep());
-  for (const auto& [endpoint, place] : places_)
+std::vector<Endpoints::ConnectionState> Endpoints::export_connections() const {
+  std::vector<ConnectionState> all;
+  for (const auto& [line, owned] : active_) all.push_back(line->keep());
+  for (const auto& [endpoint, place] : pools_)
     for (const auto& line : place.idle) all.push_back(line->keep());
   return all;
 }
 
-void Endpoints::take(const std::vector<Kept>& kept) {
+void Endpoints::import_connections(const std::vector<ConnectionState>& kept) {
   for (const auto& from : kept) {
-    auto line = std::make_unique<Line>(*this, from);
-    Line& here = *line;
+    auto line = std::make_unique<Connection>(*this, from);
+    Connection& here = *line;
     if (!here.busy()) {
-      places_[from.endpoint].idle.push_back(std::move(line));
+      pools_[from.endpoint].idle.push_back(std::move(line));
       continue;
     }
-    busy_[&here] = std::move(line);
-    for (const auto& item : here.items()) under_way_[{item.doc, item.transmission}] = &here;
-    if (here.held()) ready_.emplace_back(here.items()[0].doc, here.items()[0].transmission);
+    active_[&here] = std::move(line);
+    for (const auto& item : here.items()) in_flight_[{item.doc, item.transmission}] = &here;
+    if (here.held()) deferred_.emplace_back(here.items()[0].doc, here.items()[0].transmission);
   }
 }
 
 std::vector<std::pair<EndpointId, Address>> Endpoints::addresses() const {
   std::vector<std::pair<EndpointId, Address>> all;
-  for (const auto& [endpoint, place] : places_) all.emplace_back(endpoint, place.address);
+  for (const auto& [endpoint, place] : pools_) all.emplace_back(endpoint, place.address);
   return all;
 }
 
 void Endpoints::close_all_idle() {
-  for (auto& [endpoint, place] : places_) {
+  for (auto& [endpoint, place] : pools_) {
     for (auto& line : place.idle) line->shut();
     close_idle(endpoint);
   }
 }
 
 // Guards against running out of descriptors: the connection idle for longest makes way.
-bool Endpoints::make_room() {
-  if (connections_ < limits_.connections_most) return true;
-  std::list<std::unique_ptr<Line>>* oldest = nullptr;
-  for (auto& [endpoint, place] : places_)
+bool Endpoints::ensure_capacity() {
+  if (connections_ < limits_.max_connections) return true;
+  std::list<std::unique_ptr<Connection>>* oldest = nullptr;
+  for (auto& [endpoint, place] : pools_)
     if (!place.idle.empty() && (!oldest || place.idle.back()->idle_since() < oldest->back()->idle_since()))
       oldest = &place.idle;
   if (!oldest) return false;
-  put_away(std::move(oldest->back()));
+  discard_idle(std::move(oldest->back()));
   oldest->pop_back();
   return true;
 }
 
-void Endpoints::call_off(DocId doc, int transmission) {
-  auto found = under_way_.find({doc, transmission});
-  if (found != under_way_.end()) found->second->call_off();
+void Endpoints::cancel(DocId doc, int transmission) {
+  auto found = in_flight_.find({doc, transmission});
+  if (found != in_flight_.end()) found->second->call_off();
 }
 
-void Endpoints::go_on() {
-  for (const auto& call : std::exchange(ready_, {}))
-    if (auto found = under_way_.find(call); found != under_way_.end()) found->second->go_on();
+void Endpoints::resume_deferred() {
+  for (const auto& call : std::exchange(deferred_, {}))
+    if (auto found = in_flight_.find(call); found != in_flight_.end()) found->second->go_on();
 }
 
 void Endpoints::close_idle(EndpointId endpoint, Millis idle_least) {
-  auto found = places_.find(endpoint);
-  if (found == places_.end()) return;
+  auto found = pools_.find(endpoint);
+  if (found == pools_.end()) return;
   auto& idle = found->second.idle;
   while (!idle.empty() && loop_.now() - idle.back()->idle_since() >= idle_least) {
-    put_away(std::move(idle.back()));
+    discard_idle(std::move(idle.back()));
     idle.pop_back();
   }
 }
 
-void Endpoints::forget(EndpointId endpoint) {
+void Endpoints::remove(EndpointId endpoint) {
   close_idle(endpoint);
-  places_.erase(endpoint);
+  pools_.erase(endpoint);
 }
 
-void Endpoints::rest(Line& line) {
-  auto found = busy_.find(&line);
-  if (found == busy_.end()) return;
-  auto place = places_.find(line.endpoint());
+void Endpoints::release(Connection& line) {
+  auto found = active_.find(&line);
+  if (found == active_.end()) return;
+  auto place = pools_.find(line.endpoint());
   // It trailed on past its endpoint's end, or leads to where that was before it moved.
-  if (place == places_.end() || line.address() != place->second.address) return drop(line);
+  if (place == pools_.end() || line.address() != place->second.address) return discard(line);
   place->second.idle.push_front(std::move(found->second));
-  busy_.erase(found);
+  active_.erase(found);
   line.rested();
 }
 
-void Endpoints::drop(Line& line) {
+void Endpoints::discard(Connection& line) {
   line.shut();
-  if (auto found = busy_.find(&line); found != busy_.end()) {
-    loop_.bury(std::move(found->second));
-    busy_.erase(found);
+  if (auto found = active_.find(&line); found != active_.end()) {
+    loop_.defer_delete(std::move(found->second));
+    active_.erase(found);
     return;
   }
-  auto place = places_.find(line.endpoint());
-  if (place == places_.end()) return;
+  auto place = pools_.find(line.endpoint());
+  if (place == pools_.end()) return;
   auto& idle = place->second.idle;
   auto found = std::find_if(idle.begin(), idle.end(), [&](const auto& kept) { return kept.get() == &line; });
   if (found == idle.end()) return;
-  put_away(std::move(*found));
+  discard_idle(std::move(*found));
   idle.erase(found);
 }
 
--- a/src/relay/handover.cpp
+++ b/src/relay/handover.cpp
@@ -58,7 +58,7 @@
 bool wait_for(int fd, short events, Millis until) {
   pollfd one{fd, events, 0};
   while (true) {
-    auto left = until - Loop::monotonic();
+    auto left = until - EventLoop::monotonic_time();
     if (left <= 0) return false;
     int count = poll(&one, 1, static_cast<int>(left) + 1);
     if (count > 0) return true;
@@ -138,19 +138,19 @@
 
 }  // namespace
 
-int Baggage::take(std::size_t place) {
+int HandoverPayload::take_descriptor(std::size_t place) {
   int fd = std::exchange(descriptors.at(place), -1);
   if (fd < 0) throw std::runtime_error("a descriptor is named twice");
   return fd;
 }
 
-void Baggage::shut() {
+void HandoverPayload::close_unclaimed() {
   for (int fd : std::exchange(descriptors, {}))
     if (fd >= 0) ::close(fd);
 }
 
 // Where Unix sockets are refused, this relay is replaced as by a planned restart.
-Successor::Successor(Loop& loop, const std::string& folder) : loop_(loop), folder_(folder) {
+HandoverServer::HandoverServer(EventLoop& loop, const std::string& folder) : loop_(loop), folder_(folder) {
   Place place(folder_);
   fd_ = local_socket();
   ::unlink(place.path());
@@ -162,76 +162,76 @@
   loop_.add(fd_, POLLIN, this);
 }
 
-Successor::~Successor() {
+HandoverServer::~HandoverServer() {
   if (fd_ < 0) return;
   loop_.remove(fd_);
   ::close(fd_);
 }
 
-void Successor::ready(short) {
+void HandoverServer::ready(short) {
   int fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (fd < 0) return;
   give(fd);
   ::close(fd);
 }
 
-void Successor::give(int fd) {
-  auto until = Loop::monotonic() + ask_within;
+void HandoverServer::give(int fd) {
+  auto until = EventLoop::monotonic_time() + ask_within;
   std::string numbering;
   for (char byte = 0; receive_bytes(fd, &byte, 1, until) && byte != '\n' && numbering.size() < 64;)
     numbering += byte;
-  until = Loop::monotonic() + give_within;
-  auto baggage = pack(numbering);
+  until = EventLoop::monotonic_time() + give_within;
+  auto baggage = make_payload(numbering);
   if (!baggage) return;
-  std::uint64_t sizes[2] = {baggage->descriptors.size(), baggage->text.size()};
+  std::uint64_t sizes[2] = {baggage->descriptors.size(), baggage->state.size()};
   bool sent = send_bytes(fd, reinterpret_cast<const char*>(sizes), sizeof sizes, until);
   for (std::size_t at = 0; sent && at < baggage->descriptors.size(); at += descriptors_at_once)
     sent = send_descriptors(fd, baggage->descriptors.data() + at,
                             std::min(descriptors_at_once, baggage->descriptors.size() - at), until);
   char said = 0;
-  sent = sent && send_bytes(fd, baggage->text.data(), baggage->text.size(), until) &&
+  sent = sent && send_bytes(fd, baggage->state.data(), baggage->state.size(), until) &&
          receive_bytes(fd, &said, 1, until) && said == 'r';
   // The one step from which on all is the other's. Not even this process could tell, where it fails, whether
   // the other still lives; so it goes on, and the other, that heard nothing, does not.
   said = 'g';
   if (!sent || ::send(fd, &said, 1, MSG_NOSIGNAL) != 1)
     return log_line("a successor came and did not take over");
-  on_gone();
+  on_complete();
 }
 
-Predecessor::~Predecessor() { drop(); }
+HandoverClient::~HandoverClient() { close(); }
 
-void Predecessor::drop() {
+void HandoverClient::close() {
   if (fd_ >= 0) ::close(std::exchange(fd_, -1));
 }
 
-std::optional<Baggage> Predecessor::ask(const std::string& numbering) {
-  drop();
+std::optional<HandoverPayload> HandoverClient::request(const std::string& numbering) {
+  close();
   Place place(folder_);
   fd_ = local_socket();
   if (fd_ < 0 || connect(fd_, place.address(), place.size()) != 0) return {};
-  auto until = Loop::monotonic() + take_within;
+  auto until = EventLoop::monotonic_time() + take_within;
   auto line = numbering + "\n";
   std::uint64_t sizes[2] = {0, 0};
   if (!send_bytes(fd_, line.data(), line.size(), until) ||
       !receive_bytes(fd_, reinterpret_cast<char*>(sizes), sizeof sizes, until) ||
       sizes[0] > descriptors_most || sizes[1] > text_most)
     return {};
-  Baggage baggage;
+  HandoverPayload baggage;
   bool whole = true;
   while (whole && baggage.descriptors.size() < sizes[0])
     whole = receive_descriptors(fd_, baggage.descriptors, until);
-  baggage.text.resize(sizes[1]);
-  whole = whole && receive_bytes(fd_, baggage.text.data(), baggage.text.size(), until);
-  if (!whole) return baggage.shut(), std::nullopt;
+  baggage.state.resize(sizes[1]);
+  whole = whole && receive_bytes(fd_, baggage.state.data(), baggage.state.size(), until);
+  if (!whole) return baggage.close_unclaimed(), std::nullopt;
   return baggage;
 }
 
-bool Predecessor::confirm() {
+bool HandoverClient::confirm() {
   char said = 'r';
-  auto until = Loop::monotonic() + take_within;
+  auto until = EventLoop::monotonic_time() + take_within;
   bool gone = send_bytes(fd_, &said, 1, until) && receive_bytes(fd_, &said, 1, until) && said == 'g';
-  drop();
+  close();
   return gone;
 }
 
--- a/src/relay/handover.h
+++ b/src/relay/handover.h
@@ -14,46 +14,48 @@
 
 namespace rockcrank {
 
-struct Baggage {
-  std::string text;
+struct HandoverPayload {
+  std::string state;
   std::vector<int> descriptors;  // the receiver's own, named in the text by their places here
-  int take(std::size_t place);   // one of them, which is its taker's then; throws where there is none
-  void shut();                   // closes those that nobody took
+  int take_descriptor(
+      std::size_t place);  // one of them, which is its taker's then; throws where there is none
+  void close_unclaimed();  // closes those that nobody took
 };
 
 // The old side: listens for a successor.
-class Successor : public Handler {
+class HandoverServer : public EventHandler {
  public:
   // Tells what to give to one whose documents, kinds and halls are numbered as `numbering` says; none:
   // nothing.
-  std::function<std::optional<Baggage>(const std::string& numbering)> pack;
-  std::function<void()> on_gone;  // all was taken: from now on nothing here is this process's
+  std::function<std::optional<HandoverPayload>(const std::string& numbering)> make_payload;
+  std::function<void()> on_complete;  // all was taken: from now on nothing here is this process's
 
-  Successor(Loop& loop, const std::string& folder);
-  ~Successor() override;
-  Successor(const Successor&) = delete;
-  Successor& operator=(const Successor&) = delete;
+  HandoverServer(EventLoop& loop, const std::string& folder);
+  ~HandoverServer() override;
+  HandoverServer(const HandoverServer&) = delete;
+  HandoverServer& operator=(const HandoverServer&) = delete;
 
  private:
   void ready(short events) override;
   void give(int fd);
 
-  Loop& loop_;
+  EventLoop& loop_;
   const std::string folder_;
   int fd_ = -1;
 };
 
 // The new side: one try to take over from whoever listens in the folder.
-class Predecessor {
+class HandoverClient {
  public:
-  explicit Predecessor(const std::string& folder) : folder_(folder) {}
-  ~Predecessor();
-  Predecessor(const Predecessor&) = delete;
-  Predecessor& operator=(const Predecessor&) = delete;
-
-  std::optional<Baggage> ask(const std::string& numbering);  // none: nobody there, or it gave nothing
-  bool confirm();  // all that was given can be used; true: it is this process's now
-  void drop();
+  explicit HandoverClient(const std::string& folder) : folder_(folder) {}
+  ~HandoverClient();
+  HandoverClient(const HandoverClient&) = delete;
+  HandoverClient& operator=(const HandoverClient&) = delete;
+
+  std::optional<HandoverPayload> request(
+      const std::string& numbering);  // none: nobody there, or it gave nothing
+  bool confirm();                     // all that was given can be used; true: it is this process's now
+  void close();
 
  private:
   const std::string folder_;
--- a/src/relay/http.cpp
+++ b/src/relay/http.cpp
@@ -44,7 +44,7 @@
   return line;
 }
 
-using State = HttpAnswer::State;
+using State = HttpResponse::State;
 
 State read_chunks(std::string_view buffer, std::size_t& at, std::size_t body_most, std::string& body) {
   while (true) {
@@ -61,20 +61,20 @@
   while (true) {
     auto line = next_line(buffer, at);
     if (!line) return buffer.size() - at > head_most ? State::malformed : State::partial;
-    if (line->empty()) return State::whole;
+    if (line->empty()) return State::complete;
   }
 }
 
 }  // namespace
 
-std::string_view HttpAnswer::header(std::string_view name) const {
+std::string_view HttpResponse::header(std::string_view name) const {
   for (const auto& [key, value] : headers)
     if (same_word(key, name)) return value;
   return {};
 }
 
-HttpAnswer read_answer(std::string_view buffer, std::size_t body_most, bool connection_ended) {
-  HttpAnswer answer;
+HttpResponse parse_response(std::string_view buffer, std::size_t body_most, bool connection_ended) {
+  HttpResponse answer;
   std::size_t at = 0;
   auto as = [&](State state) {
     answer.state = state;
@@ -92,7 +92,7 @@
     auto code = bounded && (*first)[8] == ' ' ? to_size(first->substr(9, 3), 10) : std::nullopt;
     if (!code || *code < 100) return as(State::malformed);
     answer.status = static_cast<int>(*code);
-    answer.closes = first->substr(0, 8) == "HTTP/1.0";
+    answer.closes_connection = first->substr(0, 8) == "HTTP/1.0";
     while (true) {
       auto line = next_line(buffer, at);
       if (at > head_most) return as(State::malformed);
@@ -103,7 +103,7 @@
       answer.headers.emplace_back(line->substr(0, colon), trimmed(line->substr(colon + 1)));
     }
   } while (answer.status < 200);
-  if (same_word(answer.header("Connection"), "close")) answer.closes = true;
+  if (same_word(answer.header("Connection"), "close")) answer.closes_connection = true;
   std::optional<std::string_view> length;
   for (const auto& [key, value] : answer.headers) {
     if (!same_word(key, "Content-Length")) continue;
@@ -112,23 +112,23 @@
   }
   if (auto coding = answer.header("Transfer-Encoding"); !coding.empty()) {
     if (!same_word(coding, "chunked") || length) return as(State::malformed);
-    auto state = read_chunks(buffer, at, body_most, answer.chunks);
-    if (state != State::whole) return as(state);
+    auto state = read_chunks(buffer, at, body_most, answer.chunked_body);
+    if (state != State::complete) return as(state);
   } else if (length) {
     auto size = to_size(*length, 10);
     if (!size || *size > body_most) return as(State::malformed);
     if (buffer.size() < at + *size) return as(State::partial);
-    answer.slice = buffer.substr(at, *size);
+    answer.body_slice = buffer.substr(at, *size);
     at += *size;
   } else if (answer.status != 204 && answer.status != 304) {
-    answer.closes = true;
+    answer.closes_connection = true;
     if (buffer.size() - at > body_most) return as(State::malformed);
     if (!connection_ended) return as(State::partial);
-    answer.slice = buffer.substr(at);
+    answer.body_slice = buffer.substr(at);
     at = buffer.size();
   }
   answer.size = at;
-  return as(State::whole);
+  return as(State::complete);
 }
 
 }  // namespace rockcrank
--- a/src/relay/loop.cpp
+++ b/src/relay/loop.cpp
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-Address address_of(std::string_view text) {
+Address parse_address(std::string_view text) {
   auto colon = text.rfind(':');
   Address address;
   if (colon != std::string_view::npos) {
@@ -88,35 +88,35 @@
   return address;
 }
 
-Loop::Loop() { refresh(); }
+EventLoop::EventLoop() { refresh(); }
 
 // Set once for each process, from the clock that nobody sets: a wall clock that is stepped while the process
 // runs moves no deadline, window or wait, which are spans of real time.
-Millis Loop::wall() {
+Millis EventLoop::wall_time() {
   static const Millis ahead =
       std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch()).count() -
-      monotonic();
-  return monotonic() + ahead;
+      monotonic_time();
+  return monotonic_time() + ahead;
 }
 
-Millis Loop::monotonic() {
+Millis EventLoop::monotonic_time() {
   return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
 
-void Loop::refresh() { now_ = monotonic(); }
+void EventLoop::refresh() { now_ = monotonic_time(); }
 
-void Loop::add(int fd, short events, Handler* handler) {
+void EventLoop::add(int fd, short events, EventHandler* handler) {
   places_[fd] = polled_.size();
   polled_.push_back({fd, events, 0});
   handlers_.push_back(handler);
 }
 
-void Loop::change(int fd, short events) {
+void EventLoop::change(int fd, short events) {
   if (auto found = places_.find(fd); found != places_.end()) polled_[found->second].events = events;
 }
 
-void Loop::remove(int fd) {
+void EventLoop::remove(int fd) {
   auto found = places_.find(fd);
   if (found == places_.end()) return;
   polled_[found->second].fd = -1;  // swept out after the round
@@ -124,7 +124,7 @@
   places_.erase(found);
 }
 
-void Loop::run() {
+void EventLoop::run() {
   running_ = true;
   while (running_) {
     refresh();
@@ -169,26 +169,26 @@
   key_ = {};
 }
 
-Stream::Stream(Loop& loop, int connected_fd) : loop_(loop), fd_(connected_fd), state_(State::up) {
+Stream::Stream(EventLoop& loop, int connected_fd) : loop_(loop), fd_(connected_fd), state_(State::connected) {
   int on = 1;
   setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   loop_.add(fd_, POLLIN, this);
 }
 
-Stream::Stream(Loop& loop, Kept kept)
+Stream::Stream(EventLoop& loop, Snapshot kept)
     : loop_(loop),
       fd_(kept.fd),
-      state_(kept.connecting ? State::connecting : State::up),
-      in_(std::move(kept.in)),
-      out_(std::move(kept.out)) {
+      state_(kept.connecting ? State::connecting : State::connected),
+      in_(std::move(kept.unconsumed)),
+      out_(std::move(kept.unsent)) {
   loop_.add(fd_, POLLIN, this);
   want();
 }
 
-Stream::Stream(Loop& loop, const Address& to) : loop_(loop) {
+Stream::Stream(EventLoop& loop, const Address& to) : loop_(loop) {
   fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd_ < 0) {
-    lacks_descriptor_ = true, state_ = State::ended;
+    lacks_descriptor_ = true, state_ = State::closed;
     return;
   }
   int on = 1;
@@ -201,7 +201,7 @@
     // No port or no memory is free here: not the other side's doing.
     lacks_descriptor_ = errno == EADDRNOTAVAIL || errno == EAGAIN || errno == ENOBUFS || errno == ENOMEM;
     ::close(std::exchange(fd_, -1));
-    state_ = State::ended;
+    state_ = State::closed;
     return;
   }
   loop_.add(fd_, POLLOUT, this);
@@ -214,30 +214,30 @@
     loop_.remove(fd_);
     ::close(std::exchange(fd_, -1));
   }
-  state_ = State::ended;
+  state_ = State::closed;
 }
 
 void Stream::want() {
   if (fd_ < 0) return;
   short events = 0;
   if (state_ == State::connecting || !out_.empty()) events |= POLLOUT;
-  if (state_ == State::up && reading_) events |= POLLIN;
+  if (state_ == State::connected && reading_) events |= POLLIN;
   loop_.change(fd_, events);
 }
 
-void Stream::read_on(bool wanted) {
+void Stream::enable_reading(bool wanted) {
   reading_ = wanted;
   want();
 }
 
-bool Stream::quiet() const {
+bool Stream::has_no_pending_input() const {
   char byte = 0;
-  return state_ == State::up && recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
+  return state_ == State::connected && recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
          (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
 void Stream::read_now() {
-  if (state_ == State::up && reading_) read_some();
+  if (state_ == State::connected && reading_) read_some();
 }
 
 void Stream::consume(std::size_t count) {
@@ -249,9 +249,9 @@
 }
 
 void Stream::send(std::string_view bytes) {
-  if (state_ == State::ended) return;
+  if (state_ == State::closed) return;
   out_.append(bytes);
-  if (state_ == State::up && !write_some()) return;  // the break is met when the loop reads
+  if (state_ == State::connected && !write_some()) return;  // the break is met when the loop reads
   want();
 }
 
@@ -283,9 +283,9 @@
       // What came before the end is still handed on; the callback may close this stream.
       if (any && on_data) on_data();
       if (fd_ < 0) return;
-      if (count < 0 || !on_input_end) return ended();
-      read_on(false);
-      return on_input_end();
+      if (count < 0 || !on_half_close) return ended();
+      enable_reading(false);
+      return on_half_close();
     }
     if (finishing_) continue;
     in_.append(piece, static_cast<std::size_t>(count));
@@ -295,10 +295,10 @@
   if (any && on_data) on_data();
 }
 
-void Stream::finish() {
+void Stream::close_gracefully() {
   if (fd_ < 0 || std::exchange(finishing_, true)) return;
-  on_input_end = nullptr;
-  read_on(true);
+  on_half_close = nullptr;
+  enable_reading(true);
   finish_sending();
 }
 
@@ -310,7 +310,7 @@
 
 void Stream::ended() {
   close();
-  if (on_end) on_end();
+  if (on_close) on_close();
 }
 
 void Stream::ready(short events) {
@@ -319,16 +319,16 @@
     socklen_t size = sizeof error;
     getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
     if (error != 0 || (events & (POLLERR | POLLNVAL))) return ended();
-    state_ = State::up;
-    if (on_up) on_up();
-    if (state_ != State::up) return;
+    state_ = State::connected;
+    if (on_connected) on_connected();
+    if (state_ != State::connected) return;
     if (!write_some()) return ended();
     return want();
   }
   if ((events & POLLOUT) && !write_some()) return ended();
   finish_sending();
   want();
-  if ((events & POLLOUT) && out_.empty() && on_sent) on_sent();
+  if ((events & POLLOUT) && out_.empty() && on_drain) on_drain();
   if (fd_ < 0) return;
   if (events & (POLLIN | POLLHUP | POLLERR | POLLNVAL)) {
     if (!reading_ && (events & (POLLHUP | POLLERR | POLLNVAL))) return ended();
@@ -336,13 +336,13 @@
   }
 }
 
-Listener::Listener(Loop& loop, const Address& at, std::function<void(int)> taken)
+Listener::Listener(EventLoop& loop, const Address& at, std::function<void(int)> taken)
     : Listener(loop, std::move(taken), listening_at(at)) {}
 
-Listener::Listener(Loop& loop, int listening_fd, std::function<void(int)> taken)
+Listener::Listener(EventLoop& loop, int listening_fd, std::function<void(int)> taken)
     : Listener(loop, std::move(taken), shared(listening_fd)) {}
 
-Listener::Listener(Loop& loop, std::function<void(int)> taken, int own_fd)
+Listener::Listener(EventLoop& loop, std::function<void(int)> taken, int own_fd)
     : loop_(loop),
       fd_(own_fd),
       taken_(std::move(taken)),
@@ -355,7 +355,7 @@
   ::close(fd_);
 }
 
-void Listener::pause(bool paused) {
+void Listener::set_paused(bool paused) {
   paused_ = paused;
   loop_.change(fd_, paused_ ? 0 : POLLIN);
 }
@@ -377,7 +377,7 @@
   }
 }
 
-Signals::Signals(Loop& loop, std::function<void()> asked_to_end, std::function<void()> asked_to_read)
+Signals::Signals(EventLoop& loop, std::function<void()> asked_to_end, std::function<void()> asked_to_read)
     : loop_(loop), asked_to_end_(std::move(asked_to_end)), asked_to_read_(std::move(asked_to_read)) {
   if (pipe2(ends_, O_NONBLOCK | O_CLOEXEC) != 0) throw std::runtime_error("cannot make a pipe");
   signal_end = ends_[1];
@@ -403,9 +403,9 @@
 
 // Guards against a SIGHUP that comes between the reading of the configuration and the first round: it would
 // end the process, or be lost with the new configuration.
-void Signals::hold_back() { mask_reload(SIG_BLOCK); }
+void Signals::block_reload() { mask_reload(SIG_BLOCK); }
 
-void Signals::listen() { mask_reload(SIG_UNBLOCK); }
+void Signals::unblock_reload() { mask_reload(SIG_UNBLOCK); }
 
 void Signals::ready(short) {
   char bytes[16];
@@ -413,7 +413,7 @@
   bool read_again = false, end = false;
   for (ssize_t i = 0; i < count; ++i) (bytes[i] == SIGHUP ? read_again : end) = true;
   if (read_again) asked_to_read_();
-  if (end) process_ends(), asked_to_end_();
+  if (end) set_terminating(), asked_to_end_();
 }
 
 }  // namespace rockcrank
--- a/src/relay/loop.h
+++ b/src/relay/loop.h
@@ -17,27 +17,27 @@
 
 namespace rockcrank {
 
-class Handler {
+class EventHandler {
  public:
-  virtual ~Handler() = default;
+  virtual ~EventHandler() = default;
   virtual void ready(short events) = 0;
 };
 
-class Loop {
+class EventLoop {
  public:
-  Loop();
+  EventLoop();
   Millis now() const { return now_; }  // monotonic, as of this round
-  static Millis wall();                // Unix time, as it was set when the process began
-  static Millis monotonic();           // at this moment
+  static Millis wall_time();           // Unix time, as it was set when the process began
+  static Millis monotonic_time();      // at this moment
   void run();
   void stop() { running_ = false; }
 
-  void add(int fd, short events, Handler* handler);
+  void add(int fd, short events, EventHandler* handler);
   void change(int fd, short events);
   void remove(int fd);
   // Whatever must not be freed inside its own callback lives until the end of the round.
   template <typename Thing>
-  void bury(std::unique_ptr<Thing> thing) {
+  void defer_delete(std::unique_ptr<Thing> thing) {
     buried_.push_back(std::shared_ptr<void>(std::move(thing)));
   }
 
@@ -47,7 +47,7 @@
   void refresh();
 
   std::vector<pollfd> polled_;
-  std::vector<Handler*> handlers_;
+  std::vector<EventHandler*> handlers_;
   std::map<int, std::size_t> places_;
   std::map<Due, class Timer*> timers_;
   std::vector<std::shared_ptr<void>> buried_;
@@ -58,7 +58,7 @@
 
 class Timer {
  public:
-  Timer(Loop& loop, std::function<void()> due) : loop_(loop), due_(std::move(due)) {}
+  Timer(EventLoop& loop, std::function<void()> due) : loop_(loop), due_(std::move(due)) {}
   ~Timer() { clear(); }
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
@@ -66,10 +66,10 @@
   void clear();
 
  private:
-  friend class Loop;
-  Loop& loop_;
+  friend class EventLoop;
+  EventLoop& loop_;
   std::function<void()> due_;
-  Loop::Due key_{};
+  EventLoop::Due key_{};
 };
 
 struct Address {
@@ -77,45 +77,46 @@
   int port = 0;
   bool operator==(const Address&) const = default;
 };
-Address address_of(std::string_view text);  // host:port; throws std::runtime_error
+Address parse_address(std::string_view text);  // host:port; throws std::runtime_error
 
 // A non-blocking TCP connection. Its owner frees it, through bury() inside a callback; that closes it.
-class Stream : public Handler {
+class Stream : public EventHandler {
  public:
-  enum class State { connecting, up, ended };
+  enum class State { connecting, connected, closed };
 
   // A connection that another process gave: what it had read and not used, and had not sent yet.
-  struct Kept {
+  struct Snapshot {
     int fd = -1;
     bool connecting = false;
-    std::string in, out;
+    std::string unconsumed, unsent;
   };
 
-  Stream(Loop& loop, int connected_fd);
-  Stream(Loop& loop, Kept kept);
-  Stream(Loop& loop, const Address& to);  // ended at once where no socket is to be had
+  Stream(EventLoop& loop, int connected_fd);
+  Stream(EventLoop& loop, Snapshot kept);
+  Stream(EventLoop& loop, const Address& to);  // ended at once where no socket is to be had
   ~Stream() override;
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  std::function<void()> on_up;
-  std::function<void()> on_data;  // more was received
-  std::function<void()> on_sent;  // what could not be written at once has gone
-  std::function<void()> on_end;   // the connection broke, or ended; called once
+  std::function<void()> on_connected;
+  std::function<void()> on_data;   // more was received
+  std::function<void()> on_drain;  // what could not be written at once has gone
+  std::function<void()> on_close;  // the connection broke, or ended; called once
   // Set: the other side has ended its sending but may still be sent to. Not set: that is an end.
-  std::function<void()> on_input_end;
+  std::function<void()> on_half_close;
 
   State state() const { return state_; }
-  Kept keep() const { return {fd_, state_ == State::connecting, std::string(received()), out_}; }
-  bool lacks_descriptor() const { return lacks_descriptor_; }
+  Snapshot snapshot() const { return {fd_, state_ == State::connecting, std::string(received()), out_}; }
+  bool out_of_resources() const { return lacks_descriptor_; }
   std::string_view received() const { return std::string_view(in_).substr(consumed_); }
-  bool quiet() const;  // up, and nothing has come that was not read yet: no bytes, no end
-  void read_now();     // what has come by now, without waiting for the loop to find it
+  bool has_no_pending_input() const;  // up, and nothing has come that was not read yet: no bytes, no end
+  void read_now();                    // what has come by now, without waiting for the loop to find it
   void consume(std::size_t count);
   void send(std::string_view bytes);
-  std::size_t unsent() const { return out_.size(); }
-  void read_on(bool wanted);  // off: the other side is left to wait
-  void finish();  // ends its own sending once what is unsent has gone, and itself when the other side does
+  std::size_t unsent_bytes() const { return out_.size(); }
+  void enable_reading(bool wanted);  // off: the other side is left to wait
+  void close_gracefully();  // ends its own sending once what is unsent has gone, and itself when the other
+                            // side does
   void close();
 
  private:
@@ -126,7 +127,7 @@
   void ended();
   void want();
 
-  Loop& loop_;
+  EventLoop& loop_;
   int fd_ = -1;
   State state_ = State::connecting;
   bool lacks_descriptor_ = false, reading_ = true, finishing_ = false;
@@ -135,20 +136,21 @@
 };
 
 // Takes connections on one address. Out of descriptors, or told to pause, it leaves them in the queue.
-class Listener : public Handler {
+class Listener : public EventHandler {
  public:
-  Listener(Loop& loop, const Address& at, std::function<void(int)> taken);
-  Listener(Loop& loop, int listening_fd, std::function<void(int)> taken);  // one that others have, and keep
+  Listener(EventLoop& loop, const Address& at, std::function<void(int)> taken);
+  Listener(EventLoop& loop, int listening_fd,
+           std::function<void(int)> taken);  // one that others have, and keep
   ~Listener() override;
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
-  void pause(bool paused);
+  void set_paused(bool paused);
 
  private:
-  Listener(Loop& loop, std::function<void(int)> taken, int own_fd);
+  Listener(EventLoop& loop, std::function<void(int)> taken, int own_fd);
   void ready(short events) override;
 
-  Loop& loop_;
+  EventLoop& loop_;
   int fd_;
   bool paused_ = false;
   std::function<void(int)> taken_;
@@ -157,14 +159,14 @@
 
 // SIGTERM and SIGINT (to end) and SIGHUP (to read the configuration again), brought into the loop through a
 // pipe; those that a failed write would raise are ignored. One in a process.
-class Signals : public Handler {
+class Signals : public EventHandler {
  public:
-  Signals(Loop& loop, std::function<void()> asked_to_end, std::function<void()> asked_to_read);
+  Signals(EventLoop& loop, std::function<void()> asked_to_end, std::function<void()> asked_to_read);
   // SIGHUP waits from hold_back(), to be called before the configuration is read, until listen().
-  static void hold_back();
-  void listen();
+  static void block_reload();
+  void unblock_reload();
   // From here on the process ends in order; further signals to end change nothing.
-  void process_ends() { ending_ = true; }
+  void set_terminating() { ending_ = true; }
   ~Signals() override;
   Signals(const Signals&) = delete;
   Signals& operator=(const Signals&) = delete;
@@ -172,7 +174,7 @@
  private:
   void ready(short events) override;
 
-  Loop& loop_;
+  EventLoop& loop_;
   std::function<void()> asked_to_end_, asked_to_read_;
   bool ending_ = false;  // it was asked to end
   int ends_[2];
--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -43,7 +43,7 @@
                      : command == "offline" ? "OFFLINE "
                                             : "ONLINE ";
   try {
-    auto answer = rockcrank::ask_admin(rockcrank::admin_address(), line + operand);
+    auto answer = rockcrank::send_admin_command(rockcrank::read_admin_address(), line + operand);
     std::printf("%s\n", answer.c_str());
     return answer.rfind("done", 0) == 0 ? 0 : 1;
   } catch (const std::exception& error) {
@@ -56,25 +56,25 @@
 // time, this one serves by itself and waits with its calls for the other's end.
 void serve(const rockcrank::Config& config, bool notes) {
   constexpr rockcrank::Millis taken_within = 4000, pause = 50;  // the platform wants its yes within 6 s
-  rockcrank::Loop loop;
-  std::unique_ptr<rockcrank::Admin> admin;
-  if (config.admin.port != 0) admin = std::make_unique<rockcrank::Admin>(loop, config.admin);
+  rockcrank::EventLoop loop;
+  std::unique_ptr<rockcrank::AdminServer> admin;
+  if (config.admin.port != 0) admin = std::make_unique<rockcrank::AdminServer>(loop, config.admin);
   auto until = loop.now() + taken_within;
-  while (config.passed_socket >= 0 && loop.now() < until &&
+  while (config.inherited_socket >= 0 && loop.now() < until &&
          rockcrank::Store::has_owner(config.state_folder)) {
-    rockcrank::Predecessor predecessor(config.state_folder);
-    if (auto baggage = predecessor.ask(config.numbering)) {
+    rockcrank::HandoverClient predecessor(config.state_folder);
+    if (auto baggage = predecessor.request(config.numbering_hash)) {
       try {
         rockcrank::Relay relay(config, loop, admin.get(), &*baggage, notes);
-        baggage->shut();
+        baggage->close_unclaimed();
         if (predecessor.confirm()) return relay.run();
       } catch (const std::exception& error) {
-        baggage->shut();
+        baggage->close_unclaimed();
         rockcrank::log_line("not taken over: %s", error.what());
         break;  // it would not be readable the next time either
       }
     }
-    predecessor.drop();
+    predecessor.close();
     rockcrank::Timer rested(loop, [&] { loop.stop(); });
     rested.set(loop.now() + pause);
     loop.run();
@@ -110,7 +110,7 @@
     std::fprintf(stderr, "rockcrank: no such command: '%s'\n%s", command.c_str(), usage);
     return 2;
   }
-  if (command == "serve") rockcrank::Signals::hold_back();
+  if (command == "serve") rockcrank::Signals::block_reload();
   try {
     auto config = rockcrank::read_config();
     if (command == "check") rockcrank::peer::read_fleet(config);
--- a/src/relay/resp.cpp
+++ b/src/relay/resp.cpp
@@ -25,12 +25,12 @@
 
 }  // namespace
 
-Command read_command(std::string_view buffer, std::size_t words_most, std::size_t bytes_most) {
+Command parse_command(std::string_view buffer, std::size_t words_most, std::size_t bytes_most) {
   Command command;
   std::size_t at = 0, words = 0, left = bytes_most;
   auto stop = [&](int outcome) {
     command.state = outcome < 0 ? Command::State::malformed : Command::State::partial;
-    command.words.clear();
+    command.arguments.clear();
     return command;
   };
   if (int got = read_count(buffer, at, '*', words_most, words); got <= 0) return stop(got);
@@ -40,10 +40,10 @@
     left -= length;
     if (buffer.size() < at + length + 2) return stop(0);
     if (buffer.substr(at + length, 2) != "\r\n") return stop(-1);
-    command.words.push_back(buffer.substr(at, length));
+    command.arguments.push_back(buffer.substr(at, length));
     at += length + 2;
   }
-  command.state = Command::State::whole;
+  command.state = Command::State::complete;
   command.size = at;
   return command;
 }
--- a/src/relay/route_memory.h
+++ b/src/relay/route_state_store.h
@@ -8,12 +8,12 @@
 
 namespace rockcrank {
 
-class RouteMemory {
+class RouteStateStore {
  public:
-  RouteMemory(Store& store, Decision& decision) : store_(store), decision_(decision) {}
+  RouteStateStore(Store& store, Decision& decision) : store_(store), decision_(decision) {}
 
   void restore();  // tells the module, within a turn, what the process before this one knew
-  void keep();     // notes what has changed; it outlives the process once the store is flushed
+  void save();     // notes what has changed; it outlives the process once the store is flushed
 
  private:
   Store& store_;
--- a/src/settings/base64.cpp
+++ b/src/settings/base64.cpp
@@ -9,7 +9,7 @@
 
 namespace rockcrank {
 
-std::string base64(std::string_view bytes) {
+std::string base64_encode(std::string_view bytes) {
   std::string text(bytes.size() * 2 + 8, '\0');
   base64_encodestate state;
   base64_init_encodestate(&state);
@@ -20,7 +20,7 @@
   return text;
 }
 
-std::string from_base64(std::string_view text) {
+std::string base64_decode(std::string_view text) {
   std::string bytes(text.size() + 1, '\0');
   base64_decodestate state;
   base64_init_decodestate(&state);
--- a/src/settings/base64.h
+++ b/src/settings/base64.h
@@ -6,7 +6,7 @@
 
 namespace rockcrank {
 
-std::string base64(std::string_view bytes);
-std::string from_base64(std::string_view text);  // up to what it cannot read
+std::string base64_encode(std::string_view bytes);
+std::string base64_decode(std::string_view text);  // up to what it cannot read
 
 }  // namespace rockcrank
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -14,41 +14,42 @@
 
 namespace rockcrank {
 
-class Fault : public std::runtime_error {
+class ParseError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-std::string quoted(std::string_view text);
-bool printable(std::string_view text);                    // no spaces, no bytes beyond ASCII
-std::string_view cut(std::string_view& rest, char mark);  // the part up to the mark; both go from the rest
-std::int64_t to_integer(std::string_view text, const char* what, std::int64_t low, std::int64_t high);
-double to_number(std::string_view text, const char* what);
-bool to_flag(std::string_view text, const char* what);
+std::string quote_excerpt(std::string_view text);
+bool is_printable(std::string_view text);  // no spaces, no bytes beyond ASCII
+std::string_view next_token(std::string_view& rest,
+                            char mark);  // the part up to the mark; both go from the rest
+std::int64_t parse_integer(std::string_view text, const char* what, std::int64_t low, std::int64_t high);
+double parse_number(std::string_view text, const char* what);
+bool parse_flag(std::string_view text, const char* what);
 
 template <typename Value>
-struct Word {
+struct EnumName {
   std::string_view name;
   Value value;
 };
 
 template <typename Value, std::size_t count>
-Value one_of(const std::array<Word<Value>, count>& words, std::string_view text, const char* what) {
+Value parse_enum(const std::array<EnumName<Value>, count>& words, std::string_view text, const char* what) {
   for (const auto& word : words)
     if (word.name == text) return word.value;
-  throw Fault("unknown " + std::string(what) + ": " + quoted(text));
+  throw ParseError("unknown " + std::string(what) + ": " + quote_excerpt(text));
 }
 
 // Settings as path=value pairs, looked up by path; paths that nobody asks for are skipped.
-class Pairs {
+class KeyValues {
  public:
-  Pairs() = default;
-  explicit Pairs(std::string_view text);  // pairs set apart by spaces
+  KeyValues() = default;
+  explicit KeyValues(std::string_view text);  // pairs set apart by spaces
   void set(std::string path, std::string value) { values_[std::move(path)] = std::move(value); }
   std::string_view text(const std::string& path) const;
   double number(const std::string& path, double absent = 0) const;
   int count(const std::string& path, int absent = 0) const;
-  Millis time(const std::string& path) const { return number(path) / 1000.0; }  // written in microseconds
+  Millis duration(const std::string& path) const { return number(path) / 1000.0; }  // written in microseconds
   bool flag(const std::string& path) const;
   std::vector<std::string_view> list(const std::string& path) const;
 
@@ -56,11 +57,11 @@
   std::map<std::string, std::string> values_;
 };
 
-Settings decode_settings(const Pairs& pairs);
+Settings decode_settings(const KeyValues& pairs);
 
 // An id of a text: alike in every process, whatever came first.
-std::uint64_t hash_of(std::string_view text);
+std::uint64_t fnv1a_hash(std::string_view text);
 
-Hints hints_of(std::string_view text, char between);
+LoadHints parse_hints(std::string_view text, char between);
 
 }  // namespace rockcrank
--- a/src/trial/rig.cpp
+++ b/src/trial/rig.cpp
@@ -575,7 +575,7 @@
   if (batch) {
     auto list = Json::parse(body, nullptr, false);
     for (const auto& item : list.is_array() ? list : Json::array())
-      items.push_back({item.value("id", ""), item.value("key", ""), from_base64(item.value("body", ""))});
+      items.push_back({item.value("id", ""), item.value("key", ""), base64_decode(item.value("body", ""))});
   } else {
     items.push_back({header(head, "Request-Id"), header(head, "Idempotency-Key"), body});
   }
--- a/src/warm/warm.cpp
+++ b/src/warm/warm.cpp
@@ -72,7 +72,7 @@
     chance_.discard(4);  // the first draws of seeds that lie close are close
     std::string hall;
     for (const auto& member : roster)
-      if (member.id == self) hall = member.hall;
+      if (member.id == self) hall = member.zone;
     // Next on the ring: each is asked by those before it, so that questions spread over all.
     auto after = [&](const fleet::Member& m) {
       return static_cast<std::uint64_t>(m.id) - static_cast<std::uint64_t>(self);
@@ -80,9 +80,9 @@
     for (const auto& member : roster)
       if (member.id != self) neighbours_.push_back(member);
     std::ranges::sort(neighbours_, [&](const auto& a, const auto& b) {
-      return std::pair(a.hall != hall, after(a)) < std::pair(b.hall != hall, after(b));
+      return std::pair(a.zone != hall, after(a)) < std::pair(b.zone != hall, after(b));
     });
-    for (const auto& member : neighbours_) near_[member.id] = member.hall == hall;
+    for (const auto& member : neighbours_) near_[member.id] = member.zone == hall;
     spread_ = drawn() * std::min(spread_most, spread_per_member * static_cast<double>(roster.size()));
   }
 
@@ -163,7 +163,7 @@
   }
 
   Decided decide() override {
-    fleet::run_from_first(*this, rules);
+    fleet::run_by_priority(*this, rules);
     auto due = next_due();
     done_.wake_in = due >= never ? -1 : std::max(0.0, due - now_);
     return std::move(done_);
--- a/src/warm/warm.h
+++ b/src/warm/warm.h
@@ -44,7 +44,7 @@
     int up_to = 0;  // connections there, those opened by documents counted
   };
   struct Decided {
-    fleet::Sends<WarmMessage> sends;
+    fleet::OutgoingMessages<WarmMessage> sends;
     // Whose state is to be caught up with first, the busiest first: told once, when a plan is made.
     std::vector<EndpointId> state_first;
     // One more connection each, unless there are as many (enough), or Decision::may_open_ahead says no
--- a/tests/crossings/calls_test.cpp
+++ b/tests/crossings/calls_test.cpp
@@ -115,18 +115,20 @@
 class Calls : public testing::Test {
  protected:
   explicit Calls(int receive_buffer = 0) : played_(receive_buffer), endpoints_(loop_, {1500, 10000, 50}) {
-    endpoints_.locate(endpoint, played_.address);
-    endpoints_.idle_most = 1e9;
+    endpoints_.set_address(endpoint, played_.address);
+    endpoints_.max_idle_time = 1e9;
     endpoints_.on_outcome = [this](const Outcome& outcome) { outcomes_.push_back(outcome); };
     endpoints_.on_connecting = [](DocId, int) {};
-    endpoints_.on_writing = [](EndpointId, const std::vector<Endpoints::Item>&) { return true; };
+    endpoints_.before_write = [](EndpointId, const std::vector<Endpoints::InFlightTransmission>&) {
+      return true;
+    };
     endpoints_.may_begin = [this](DocId, int) { return ++asked_, may_begin_; };
-    endpoints_.is_over = [this](DocId doc) { return over_.count(doc) > 0; };
+    endpoints_.is_finished = [this](DocId doc) { return over_.count(doc) > 0; };
   }
 
   // Messages by their numbers, with their time-outs; several go in one call.
   void call(const std::vector<std::pair<int, Millis>>& messages, const std::string& body = "hello") {
-    std::vector<Parcel> parcels;
+    std::vector<OutboundTransmission> parcels;
     for (auto [number, time_out] : messages)
       parcels.push_back({DocId(number), 0, time_out, ids_.at(static_cast<std::size_t>(number)), "", body});
     endpoints_.call(endpoint, parcels);
@@ -134,12 +136,12 @@
 
   // Goes on until the condition holds.
   void run_until(const std::function<bool()>& holds) {
-    const Millis end = Loop::monotonic() + give_up_after;
+    const Millis end = EventLoop::monotonic_time() + give_up_after;
     bool held = false;
     std::unique_ptr<Timer> look;
     look = std::make_unique<Timer>(loop_, [&] {
       held = holds();
-      if (held || Loop::monotonic() > end) return loop_.stop();
+      if (held || EventLoop::monotonic_time() > end) return loop_.stop();
       look->set(loop_.now() + look_every);
     });
     look->set(loop_.now());
@@ -152,7 +154,7 @@
   // timers due.
   void run_past(Millis moment, const std::function<void()>& act) {
     Timer busy(loop_, [&] {
-      while (Loop::monotonic() < moment + 5) {}
+      while (EventLoop::monotonic_time() < moment + 5) {}
     });
     Timer first(loop_, act);
     Timer end(loop_, [&] { loop_.stop(); });
@@ -170,20 +172,20 @@
     call({{1, 1000}});
     wait_for_request(0);
     played_.answer(0, answered);
-    run_until([&] { return outcomes_.size() == 1 && endpoints_.none_out(); });
+    run_until([&] { return outcomes_.size() == 1 && endpoints_.no_calls_in_flight(); });
     outcomes_.clear();
   }
-  std::vector<Ending> endings() const {
-    std::vector<Ending> all;
-    for (const auto& outcome : outcomes_) all.push_back(outcome.ending);
+  std::vector<TransmissionResult> endings() const {
+    std::vector<TransmissionResult> all;
+    for (const auto& outcome : outcomes_) all.push_back(outcome.result);
     return all;
   }
 
   const std::vector<std::string> ids_{"id0", "id1", "id2", "id3"};
-  Loop loop_;
+  EventLoop loop_;
   PlayedEndpoint played_;
   Endpoints endpoints_;
-  MayBegin may_begin_ = MayBegin::now;
+  SendPermission may_begin_ = SendPermission::now;
   int asked_ = 0;  // whether a call may begin
   std::set<DocId> over_;
   std::vector<Outcome> outcomes_;
@@ -195,7 +197,7 @@
   SlowlyRead() : Calls(small_buffer) {}
 };
 
-using Endings = std::vector<Ending>;
+using Endings = std::vector<TransmissionResult>;
 
 std::string answer_of(const std::string& body) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -207,7 +209,7 @@
   const Millis time_out = loop_.now() + 100;
   wait_for_request(0);
   run_past(time_out, [&] { played_.answer(0, answered); });
-  EXPECT_EQ(endings(), Endings{Ending::answered});
+  EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
   EXPECT_FALSE(played_.is_ended(0));
 }
 
@@ -218,7 +220,7 @@
   run_past(time_out, [&] {
     played_.answer(0, answer_of(R"([{"id":"id1","state":"later"},{"id":"id2","state":"ok"}])"));
   });
-  EXPECT_EQ(endings(), (Endings{Ending::refused, Ending::answered}));
+  EXPECT_EQ(endings(), (Endings{TransmissionResult::refused, TransmissionResult::answered}));
 }
 
 // Half an answer is none: the call is given up as late.
@@ -227,7 +229,7 @@
   const Millis time_out = loop_.now() + 100;
   wait_for_request(0);
   run_past(time_out, [&] { played_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n[{"); });
-  EXPECT_EQ(endings(), (Endings{Ending::timed_out, Ending::timed_out}));
+  EXPECT_EQ(endings(), (Endings{TransmissionResult::timed_out, TransmissionResult::timed_out}));
   EXPECT_TRUE(played_.is_ended(0));
 }
 
@@ -237,24 +239,24 @@
   const Millis time_out = loop_.now() + 100;
   wait_for_request(0);
   run_past(time_out, [&] { played_.reset(0); });
-  EXPECT_EQ(endings(), Endings{Ending::broken});
+  EXPECT_EQ(endings(), Endings{TransmissionResult::connection_lost});
 }
 
 TEST_F(Calls, AnswerInTheRoundOfItsCallOff) {
   call({{1, 1000}});
   wait_for_request(0);
   played_.answer(0, answered);
-  endpoints_.call_off(DocId(1), 0);
-  EXPECT_EQ(endings(), Endings{Ending::answered});
+  endpoints_.cancel(DocId(1), 0);
+  EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
 }
 
 TEST_F(Calls, CallOffBeforeTheAnswer) {
   call({{1, 1000}, {2, 1000}});
   wait_for_request(0);
-  endpoints_.call_off(DocId(1), 0);
-  EXPECT_EQ(endings(), (Endings{Ending::called_off, Ending::called_off}));
+  endpoints_.cancel(DocId(1), 0);
+  EXPECT_EQ(endings(), (Endings{TransmissionResult::canceled, TransmissionResult::canceled}));
   EXPECT_TRUE(played_.is_ended(0));
-  EXPECT_TRUE(endpoints_.none_out());
+  EXPECT_TRUE(endpoints_.no_calls_in_flight());
 }
 
 // A bundle is given up whole at the shortest time in it, and only then.
@@ -263,7 +265,7 @@
   call({{1, 1000}, {2, 150}, {3, 1000}});
   wait_for_request(0);
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings(3, Ending::timed_out));
+  EXPECT_EQ(endings(), Endings(3, TransmissionResult::timed_out));
   EXPECT_GE(loop_.now(), begun + 150);
   EXPECT_LT(loop_.now(), begun + 1000);
   EXPECT_TRUE(played_.is_ended(0));
@@ -272,12 +274,12 @@
 
 // So is one that waits for a slot: no request written later has the message whose time was up.
 TEST_F(Calls, ABundleToldToBeginLaterEndsWithItsShortestTime) {
-  may_begin_ = MayBegin::later;
+  may_begin_ = SendPermission::later;
   call({{1, 1000}, {2, 100}});
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings(2, Ending::not_sent));
-  may_begin_ = MayBegin::now;
-  endpoints_.go_on();
+  EXPECT_EQ(endings(), Endings(2, TransmissionResult::not_sent));
+  may_begin_ = SendPermission::now;
+  endpoints_.resume_deferred();
   EXPECT_EQ(played_.request(0), "");
   EXPECT_TRUE(played_.is_ended(0));
 }
@@ -285,9 +287,9 @@
 // A connection that has come up in the round in which its call's time is over is not written on.
 TEST_F(Calls, ConnectionUpInTheRoundOfItsTimeOut) {
   call({{1, 1}, {2, 1000}});
-  while (Loop::monotonic() < loop_.now() + 10) {}
+  while (EventLoop::monotonic_time() < loop_.now() + 10) {}
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings(2, Ending::not_connected));
+  EXPECT_EQ(endings(), Endings(2, TransmissionResult::not_connected));
   EXPECT_EQ(played_.request(0), "");
   EXPECT_TRUE(played_.is_ended(0));
 }
@@ -298,29 +300,29 @@
   call({{1, 1000}, {2, 1000}});
   over_.insert(DocId(2));
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings(2, Ending::not_sent));
+  EXPECT_EQ(endings(), Endings(2, TransmissionResult::not_sent));
   EXPECT_EQ(played_.request(0), "");
 }
 
 // So it is with a call that was told to begin later.
 TEST_F(Calls, CallToldToBeginLaterAfterOneOfItsMessagesHasEnded) {
-  may_begin_ = MayBegin::later;
+  may_begin_ = SendPermission::later;
   call({{1, 1000}, {2, 1000}});
   run_until([&] { return asked_ > 0; });
   EXPECT_TRUE(outcomes_.empty());
-  may_begin_ = MayBegin::now;
+  may_begin_ = SendPermission::now;
   over_.insert(DocId(2));
-  endpoints_.go_on();
-  EXPECT_EQ(endings(), Endings(2, Ending::not_sent));
+  endpoints_.resume_deferred();
+  EXPECT_EQ(endings(), Endings(2, TransmissionResult::not_sent));
   EXPECT_EQ(played_.request(0), "");
 }
 
 // A told wait that begins while the connection comes up keeps the call back.
 TEST_F(Calls, ToldWaitWhileTheConnectionComesUp) {
   call({{1, 1000}, {2, 1000}});
-  may_begin_ = MayBegin::never;
+  may_begin_ = SendPermission::never;
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings(2, Ending::not_sent));
+  EXPECT_EQ(endings(), Endings(2, TransmissionResult::not_sent));
   EXPECT_EQ(played_.request(0), "");
 }
 
@@ -332,7 +334,7 @@
   wait_for_request(1);
   played_.answer(1, answered);
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings{Ending::answered});
+  EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
   EXPECT_FALSE(played_.has_request(0, 2));
 }
 
@@ -343,7 +345,7 @@
   wait_for_request(1);
   played_.answer(1, answered);
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings{Ending::answered});
+  EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
 }
 
 // The same after its use: what was sent may have run.
@@ -352,8 +354,8 @@
   call({{2, 1000}, {3, 1000}});
   played_.reset(0);
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings(2, Ending::broken));
-  EXPECT_GT(outcomes_[0].kept, 0);
+  EXPECT_EQ(endings(), Endings(2, TransmissionResult::connection_lost));
+  EXPECT_GT(outcomes_[0].connection_idle_time, 0);
 }
 
 // Before a request: nobody listens.
@@ -361,7 +363,7 @@
   played_.stop_listening();
   call({{1, 1000}, {2, 1000}});
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings(2, Ending::not_connected));
+  EXPECT_EQ(endings(), Endings(2, TransmissionResult::not_connected));
 }
 
 // Within a request: its last byte is not written yet, so neither it nor any message in it has run.
@@ -371,7 +373,7 @@
   run_until([&] { return played_.has_unread_bytes(0); });
   played_.reset(0);
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings(3, Ending::not_connected));
+  EXPECT_EQ(endings(), Endings(3, TransmissionResult::not_connected));
 }
 
 // Long after a request.
@@ -383,7 +385,7 @@
   EXPECT_TRUE(outcomes_.empty());
   played_.reset(0);
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings(2, Ending::broken));
+  EXPECT_EQ(endings(), Endings(2, TransmissionResult::connection_lost));
 }
 
 // An answer that never ends: a single 200 is true at once and the connection goes after a while; a bundle's
@@ -393,10 +395,10 @@
   wait_for_request(0);
   played_.answer(0, "HTTP/1.1 200 OK\r\nX-Noise: ");
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings{Ending::answered});
+  EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
   EXPECT_FALSE(played_.is_ended(0));
   run_until([&] { return played_.is_ended(0); });
-  EXPECT_EQ(endings(), Endings{Ending::answered});
+  EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
 }
 
 TEST_F(Calls, AnswerToABundleThatNeverEnds) {
@@ -404,7 +406,7 @@
   wait_for_request(0);
   played_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{\"id\":\"id1\",\"state\":\"ok\"}");
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings(2, Ending::timed_out));
+  EXPECT_EQ(endings(), Endings(2, TransmissionResult::timed_out));
 }
 
 // A broken answer, or an end within one: a bundle learns nothing of it, whatever its first line says.
@@ -414,7 +416,7 @@
   played_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n");
   played_.reset(0);
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings{Ending::answered});
+  EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
 }
 
 TEST_F(Calls, EndWithinAnAnswerToABundle) {
@@ -423,7 +425,7 @@
   played_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{\"id\":\"id1\",\"state\":\"ok\"}");
   played_.finish(0);
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings(2, Ending::broken));
+  EXPECT_EQ(endings(), Endings(2, TransmissionResult::connection_lost));
 }
 
 TEST_F(Calls, UnreadableAnswerToABundle) {
@@ -431,7 +433,7 @@
   wait_for_request(0);
   played_.answer(0, answer_of(R"([{"id":"id1","state":"ok"},{"id":"id2")"));
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings(2, Ending::error));
+  EXPECT_EQ(endings(), Endings(2, TransmissionResult::error));
 }
 
 // The endpoint has moved while a call was out: its connection leads to where it was, and is not used again.
@@ -439,10 +441,10 @@
   call({{1, 1000}});
   wait_for_request(0);
   PlayedEndpoint moved;
-  endpoints_.locate(endpoint, moved.address);
+  endpoints_.set_address(endpoint, moved.address);
   played_.answer(0, answered);
   run_until([&] { return !outcomes_.empty(); });
-  EXPECT_EQ(endings(), Endings{Ending::answered});
+  EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
   call({{2, 1000}});
   run_until([&] { return moved.has_request(0) || played_.has_request(0, 2); });
   EXPECT_TRUE(moved.has_request(0));
--- a/tests/crossings/reserved_port_test.cpp
+++ b/tests/crossings/reserved_port_test.cpp
@@ -19,7 +19,7 @@
 }
 
 TEST(ReservedPort, IsRefusedUntilTheRelayListensAndAgainAfterIt) {
-  rockcrank::Loop loop;
+  rockcrank::EventLoop loop;
   ReservedPort reserved;
   auto connects = [&] {
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
--- a/tests/crossings/stream_test.cpp
+++ b/tests/crossings/stream_test.cpp
@@ -35,22 +35,22 @@
 };
 
 TEST(Stream, HoldsBackNoSmallWriteOnDialledAcceptedAndPassedConnections) {
-  Loop loop;
+  EventLoop loop;
   Listening listening;
   Stream dialled(loop, listening.address);
   int accepted_fd = accept4(listening.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   ASSERT_GE(accepted_fd, 0);
   EXPECT_FALSE(sends_at_once(accepted_fd));  // the system's default: it is the stream that asks for it
   Stream accepted(loop, accepted_fd);
-  EXPECT_TRUE(sends_at_once(dialled.keep().fd));
-  EXPECT_TRUE(sends_at_once(accepted.keep().fd));
+  EXPECT_TRUE(sends_at_once(dialled.snapshot().fd));
+  EXPECT_TRUE(sends_at_once(accepted.snapshot().fd));
   // As passed to another process: another descriptor of the same connection.
-  Stream::Kept kept = accepted.keep();
+  Stream::Snapshot kept = accepted.snapshot();
   kept.fd = fcntl(kept.fd, F_DUPFD_CLOEXEC, 3);
   ASSERT_GE(kept.fd, 0);
   accepted.close();
   Stream passed(loop, kept);
-  EXPECT_TRUE(sends_at_once(passed.keep().fd));
+  EXPECT_TRUE(sends_at_once(passed.snapshot().fd));
 }
 
 }  // namespace
--- a/tests/fleet/custody_store_test.cpp
+++ b/tests/fleet/custody_store_test.cpp
@@ -19,9 +19,9 @@
     std::filesystem::remove_all(folder_);
   }
   void TearDown() override { std::filesystem::remove_all(folder_); }
-  static Held document(const std::string& id) {
-    Held held;
-    held.id = id, held.body = "body", held.doc_type = "plain", held.most = 3, held.expiry = 1e15;
+  static StoredDocument document(const std::string& id) {
+    StoredDocument held;
+    held.id = id, held.body = "body", held.doc_type = "plain", held.max_transmissions = 3, held.expiry = 1e15;
     return held;
   }
   std::string folder_;
@@ -32,35 +32,36 @@
   {
     Store store(folder_, 1 << 20);
     kept = store.add(document("kept"));
-    store.taken(kept), store.set_deed(kept, "deed");
+    store.record_accepted(kept), store.set_fleet_id(kept, "deed");
     auto over = store.add(document("over"));
-    store.taken(over), store.set_deed(over, "other"), store.forget(over);
-    store.set_note("group", "first"), store.set_note("group", std::string("a\0b", 3));
-    store.set_note("gone", "x"), store.set_note("gone", "");
+    store.record_accepted(over), store.set_fleet_id(over, "other"), store.remove(over);
+    store.set_metadata("group", "first"), store.set_metadata("group", std::string("a\0b", 3));
+    store.set_metadata("gone", "x"), store.set_metadata("gone", "");
     ASSERT_TRUE(store.flush());
   }
   // Each start compacts: the second reads what the first wrote anew.
   for (int start = 0; start < 2; ++start) {
     Store store(folder_, 1 << 20);
-    ASSERT_EQ(store.held().size(), 1u);
-    EXPECT_EQ(store.held().at(kept).deed, "deed");
-    ASSERT_EQ(store.notes().size(), 1u);
-    EXPECT_EQ(store.notes().at("group"), std::string("a\0b", 3));
-    EXPECT_EQ(store.last(), 2u) << "the number of the document that is over may not be given again";
+    ASSERT_EQ(store.documents().size(), 1u);
+    EXPECT_EQ(store.documents().at(kept).fleet_id, "deed");
+    ASSERT_EQ(store.metadata().size(), 1u);
+    EXPECT_EQ(store.metadata().at("group"), std::string("a\0b", 3));
+    EXPECT_EQ(store.last_doc_number(), 2u)
+        << "the number of the document that is over may not be given again";
   }
 }
 
 TEST_F(CustodyStore, ADocumentIsTheSameFromItsRecord) {
-  Held held = document("d1");
-  held.order_key = "k", held.type.repeat = Repeat::numbered, held.type.key_window = 5000;
-  held.unproven.push_back({1, 7, HallId(2)}), held.transmissions = 2;
-  Held read = Store::read(Store::whole(held));
+  StoredDocument held = document("d1");
+  held.order_key = "k", held.type.retry_safety = RetrySafety::keyed, held.type.idempotency_window = 5000;
+  held.in_doubt.push_back({1, 7, ZoneId(2)}), held.transmissions = 2;
+  StoredDocument read = Store::decode(Store::encode(held));
   EXPECT_EQ(read.id, held.id);
   EXPECT_EQ(read.body, held.body);
   EXPECT_EQ(read.type, held.type);
-  EXPECT_EQ(read.unproven.size(), 1u);
-  EXPECT_EQ(Store::whole(read), Store::whole(held));
-  EXPECT_ANY_THROW(Store::read(Store::whole(held).substr(0, 20)));
+  EXPECT_EQ(read.in_doubt.size(), 1u);
+  EXPECT_EQ(Store::encode(read), Store::encode(held));
+  EXPECT_ANY_THROW(Store::decode(Store::encode(held).substr(0, 20)));
 }
 
 }  // namespace
--- a/tests/fleet/custody_test.cpp
+++ b/tests/fleet/custody_test.cpp
@@ -81,14 +81,14 @@
     bool operator<(const Event& o) const { return when != o.when ? when > o.when : number > o.number; }
   };
   struct OnDisk {
-    Deed deed;
+    GlobalDocId deed;
     int world = 0, transmissions = 0;
     bool binding = false, ended = false;
     Millis expiry = 0;
     std::vector<int> risks;
   };
   struct Folder {
-    std::map<GroupId, GroupNote> notes;
+    std::map<GroupId, PersistentGroupState> notes;
     std::map<std::uint64_t, OnDisk> docs;
     std::set<Incarnation> lives;
     std::uint64_t highest = 0;
@@ -98,11 +98,11 @@
     Incarnation life;
     Folder folder;
     std::vector<Folder> snapshots;
-    std::map<Deed, std::uint64_t> numbers;  // of the folder
+    std::map<GlobalDocId, std::uint64_t> numbers;  // of the folder
     std::set<std::uint64_t> owed, out, held_back;
     double rate = 1, offset = 0;
     Millis stalled_until = 0, wake = 0;
-    std::map<MemberId, std::pair<Incarnation, Condition>> told;
+    std::map<MemberId, std::pair<Incarnation, MemberState>> told;
     bool up() const { return custody != nullptr; }
   };
   // A document as the world sees it.
@@ -135,24 +135,25 @@
     trace("start %llu life %llu with %zu docs %zu notes", (unsigned long long)id,
           (unsigned long long)node.life.number, node.folder.docs.size(), node.folder.notes.size());
     node.custody = Custody::make(roster_, id, node.life, {lease, plan_.drift, 200, plan_.wait}, chance_());
-    node.custody->begin(clock(node));
-    for (const auto& life : node.folder.lives) node.custody->lived(life);
+    node.custody->begin_turn(clock(node));
+    for (const auto& life : node.folder.lives) node.custody->add_past_incarnation(life);
     node.folder.lives.insert(node.life);
-    for (const auto& [group, note] : node.folder.notes) node.custody->recover(note);
+    for (const auto& [group, note] : node.folder.notes) node.custody->restore_group(note);
     node.numbers.clear(), node.owed.clear(), node.out.clear(), node.held_back.clear(), node.told.clear();
     node.stalled_until = 0;
     for (const auto& [number, doc] : node.folder.docs) {
       node.numbers[doc.deed] = number;
-      node.custody->recovered(papers_of(doc), node.folder.highest);
+      node.custody->restore_document(papers_of(doc), node.folder.highest);
     }
     for (auto& [other, there] : nodes_) see_soon(id, other), see_soon(other, id);
     turn(id);
   }
-  Papers papers_of(const OnDisk& doc) {
-    Papers papers;
-    papers.deed = doc.deed, papers.record = std::to_string(doc.world), papers.left = doc.expiry - now_;
-    papers.transmissions = doc.transmissions, papers.needs_proof = doc.binding, papers.ended = doc.ended;
-    for (int risk : doc.risks) papers.risks.push_back({risk, 0, {}});
+  DocumentState papers_of(const OnDisk& doc) {
+    DocumentState papers;
+    papers.id = doc.deed, papers.record = std::to_string(doc.world), papers.time_left = doc.expiry - now_;
+    papers.transmission_count = doc.transmissions, papers.replicate_before_send = doc.binding,
+    papers.ended = doc.ended;
+    for (int risk : doc.risks) papers.in_doubt.push_back({risk, 0, {}});
     return papers;
   }
 
@@ -166,12 +167,12 @@
     if (!awake(node)) return;
     bool reach = awake(other) && !cut_.count({by, of}) && !cut_.count({of, by});
     auto& told = node.told[of];
-    std::pair next{reach ? other.life : told.first, reach ? Condition::alive : Condition::dead};
+    std::pair next{reach ? other.life : told.first, reach ? MemberState::alive : MemberState::dead};
     if (next == told) return;
     told = next;
     if (told.first.number == 0) return;
-    node.custody->begin(clock(node));
-    node.custody->member(of, told.first, told.second);
+    node.custody->begin_turn(clock(node));
+    node.custody->on_member_change(of, told.first, told.second);
     turn(by);
   }
 
@@ -186,8 +187,8 @@
     Node& node = nodes_[to];
     if (!node.up() || epoch != cuts_[{from, to}]) return;
     if (!awake(node)) return at(node.stalled_until - now_, [=, this] { deliver(from, to, epoch, bytes); });
-    node.custody->begin(clock(node));
-    node.custody->heard(from, peer::unpacked<CustodyMessage>(bytes));
+    node.custody->begin_turn(clock(node));
+    node.custody->on_message(from, peer::unpacked<CustodyMessage>(bytes));
     turn(to);
   }
 
@@ -195,43 +196,43 @@
   void turn(MemberId id) {
     Node& node = nodes_[id];
     if (!awake(node)) return;
-    node.custody->begin(clock(node));
+    node.custody->begin_turn(clock(node));
     auto decided = node.custody->decide();
-    for (const auto& note : decided.notes) {
-      if (note.gone) node.folder.notes.erase(note.group);
+    for (const auto& note : decided.states_to_persist) {
+      if (note.deleted) node.folder.notes.erase(note.group);
       else node.folder.notes[note.group] = note;
     }
-    for (const auto& line : decided.log) trace("%llu: %s", (unsigned long long)id, line.c_str());
-    for (const auto& deed : decided.answerable) answer(id, deed, true);
-    for (const auto& deed : decided.not_taken) answer(id, deed, false);
-    for (const auto& [from, to] : decided.moved) {
+    for (const auto& line : decided.log_lines) trace("%llu: %s", (unsigned long long)id, line.c_str());
+    for (const auto& deed : decided.accepted) answer(id, deed, true);
+    for (const auto& deed : decided.not_accepted) answer(id, deed, false);
+    for (const auto& [from, to] : decided.renumbered) {
       auto number = node.numbers.at(from);
       node.numbers.erase(from), node.numbers[to] = number, node.folder.docs[number].deed = to;
     }
-    for (const auto& deed : decided.let_go)
+    for (const auto& deed : decided.relinquished)
       if (node.numbers.count(deed)) drop(node, node.numbers.at(deed));
     takeovers_ += !decided.taken_over.empty();
-    began_ = began_ || !decided.taken_over.empty() || !decided.regained.empty();
+    began_ = began_ || !decided.taken_over.empty() || !decided.resumed.empty();
     for (const auto& deed : decided.suspended)
       if (node.numbers.count(deed)) node.owed.erase(node.numbers.at(deed));
-    for (auto list : {&decided.taken_over, &decided.regained})
+    for (auto list : {&decided.taken_over, &decided.resumed})
       for (const auto& papers : *list) {
-        if (!node.numbers.count(papers.deed)) node.numbers[papers.deed] = ++node.folder.highest;
-        auto number = node.numbers[papers.deed];
+        if (!node.numbers.count(papers.id)) node.numbers[papers.id] = ++node.folder.highest;
+        auto number = node.numbers[papers.id];
         OnDisk& doc = node.folder.docs[number];
-        doc.deed = papers.deed, doc.world = std::stoi(papers.record), doc.expiry = now_ + papers.left;
-        doc.binding = papers.needs_proof, doc.ended = papers.ended;
-        doc.transmissions = papers.transmissions, doc.risks.clear();
-        for (const auto& risk : papers.risks) doc.risks.push_back(risk.transmission);
+        doc.deed = papers.id, doc.world = std::stoi(papers.record), doc.expiry = now_ + papers.time_left;
+        doc.binding = papers.replicate_before_send, doc.ended = papers.ended;
+        doc.transmissions = papers.transmission_count, doc.risks.clear();
+        for (const auto& risk : papers.in_doubt) doc.risks.push_back(risk.number);
         node.owed.insert(number);
         trace("%llu %s doc %d with %zu risks as %llu", (unsigned long long)id,
               list == &decided.taken_over ? "takes" : "regains", doc.world, doc.risks.size(),
               (unsigned long long)number);
         go_on(id, number);
       }
-    for (const auto& [deed, transmission] : decided.may_go)
+    for (const auto& [deed, transmission] : decided.cleared_transmissions)
       if (node.numbers.count(deed)) call(id, node.numbers.at(deed), transmission);
-    for (const auto& deed : decided.may_tell)
+    for (const auto& deed : decided.reportable_ends)
       if (node.numbers.count(deed)) tell(id, node.numbers.at(deed));
     for (const auto& send : decided.sends) post(id, send.to, send.message);
     if (decided.wake_in >= 0) {
@@ -261,17 +262,17 @@
     OnDisk doc;
     doc.world = world, doc.binding = one_in(2), doc.expiry = now_ + drawn(0.3, 1) * lifetime;
     auto number = ++node.folder.highest;
-    node.custody->begin(clock(node));
-    doc.deed = node.custody->next_deed(number);
+    node.custody->begin_turn(clock(node));
+    doc.deed = node.custody->next_document_id(number);
     docs_[world].binding = doc.binding, docs_[world].expiry = doc.expiry;
     node.numbers[doc.deed] = number, node.folder.docs[number] = doc, node.owed.insert(number);
-    node.custody->take(papers_of(doc));
+    node.custody->accept(papers_of(doc));
     if (plan_.answers_early) docs_[world].ok = true;
-    if (node.custody->answered(doc.deed)) answer(id, doc.deed, true);
+    if (node.custody->is_accepted(doc.deed)) answer(id, doc.deed, true);
     turn(id);
     go_on(id, number);
   }
-  void answer(MemberId id, const Deed& deed, bool taken) {
+  void answer(MemberId id, const GlobalDocId& deed, bool taken) {
     Node& node = nodes_[id];
     if (!node.numbers.count(deed)) return;
     auto number = node.numbers.at(deed);
@@ -291,7 +292,7 @@
       if (!node.up() || node.life != life) return;
       if (!awake(node)) return go_on(id, number);
       if (!node.owed.count(number) || node.out.count(number)) return;
-      node.custody->begin(clock(node));
+      node.custody->begin_turn(clock(node));
       OnDisk& doc = node.folder.docs[number];
       if (!node.custody->owns(doc.deed)) {
         if (plan_.sends_unowned) call(id, number, doc.transmissions++);
@@ -301,9 +302,9 @@
       if (doc.ended || late || (doc.binding && !doc.risks.empty())) return end(id, number);
       int transmission = doc.transmissions++;
       doc.risks.push_back(transmission);
-      node.custody->risk(doc.deed, transmission, {});
+      node.custody->record_transmission(doc.deed, transmission, {});
       node.out.insert(number);
-      bool may = plan_.goes_early || node.custody->may_go(doc.deed, transmission);
+      bool may = plan_.goes_early || node.custody->may_send(doc.deed, transmission);
       if (may) call(id, number, transmission);
       turn(id);
     });
@@ -324,23 +325,23 @@
     if (ending == 1) seen.delivered = true;
     at(drawn(1, 400), [=, this] { came_back(id, life, deed, transmission, ending); });
   }
-  void came_back(MemberId id, Incarnation life, const Deed& deed, int transmission, int ending) {
+  void came_back(MemberId id, Incarnation life, const GlobalDocId& deed, int transmission, int ending) {
     Node& node = nodes_[id];
     if (!node.up() || node.life != life) return;
     if (!awake(node)) return at(50, [=, this] { came_back(id, life, deed, transmission, ending); });
     if (!node.numbers.count(deed)) return;
     auto number = node.numbers.at(deed);
     OnDisk& doc = node.folder.docs[number];
-    node.custody->begin(clock(node));
+    node.custody->begin_turn(clock(node));
     node.out.erase(number);
     trace("%llu came back doc %d ending %d", (unsigned long long)id, doc.world, ending);
     if (ending == 1) {
-      node.custody->over(deed);
+      node.custody->remove(deed);
       drop(node, number);
     } else {
       if (ending == 0) {
         std::erase(doc.risks, transmission);
-        node.custody->ran_not(deed, transmission);
+        node.custody->record_never_ran(deed, transmission);
       }
       go_on(id, number);
     }
@@ -349,8 +350,8 @@
   void end(MemberId id, std::uint64_t number) {
     Node& node = nodes_[id];
     OnDisk& doc = node.folder.docs[number];
-    if (!std::exchange(doc.ended, true)) node.custody->ended(doc.deed, std::to_string(doc.world));
-    if (plan_.tells_early || node.custody->may_tell(doc.deed)) tell(id, number);
+    if (!std::exchange(doc.ended, true)) node.custody->record_ended(doc.deed, std::to_string(doc.world));
+    if (plan_.tells_early || node.custody->may_report_end(doc.deed)) tell(id, number);
     turn(id);
   }
   void tell(MemberId id, std::uint64_t number) {
@@ -358,7 +359,7 @@
     OnDisk doc = node.folder.docs[number];
     if (!node.custody->owns(doc.deed)) broken("ended by one that does not own it");
     docs_[doc.world].told = true;
-    node.custody->over(doc.deed);
+    node.custody->remove(doc.deed);
     drop(node, number);
   }
 
@@ -401,9 +402,9 @@
       default:
         if (!plan_.false_deaths || id == other || !awake(node) || !node.told.count(other)) return;
         if (node.told[other].first.number == 0) return;
-        node.told[other].second = Condition::dead;
-        node.custody->begin(clock(node));
-        node.custody->member(other, node.told[other].first, Condition::dead);
+        node.told[other].second = MemberState::dead;
+        node.custody->begin_turn(clock(node));
+        node.custody->on_member_change(other, node.told[other].first, MemberState::dead);
         turn(id), see_soon(id, other);
     }
   }
@@ -428,7 +429,7 @@
     trace("cut %llu to %llu", (unsigned long long)from, (unsigned long long)to);
     for (auto [by, of] : {std::pair{from, to}, {to, from}}) {
       see_soon(by, of);
-      if (awake(nodes_[by]) && one_in(2)) nodes_[by].custody->linked(of, false), turn(by);
+      if (awake(nodes_[by]) && one_in(2)) nodes_[by].custody->on_link_change(of, false), turn(by);
     }
   }
   void join(MemberId a, MemberId b) {
@@ -437,7 +438,8 @@
     for (auto [by, of] : {std::pair{a, b}, {b, a}}) {
       see_soon(by, of);
       if (awake(nodes_[by]))
-        nodes_[by].custody->begin(clock(nodes_[by])), nodes_[by].custody->linked(of, true), turn(by);
+        nodes_[by].custody->begin_turn(clock(nodes_[by])), nodes_[by].custody->on_link_change(of, true),
+            turn(by);
     }
   }
   void heal() {
@@ -455,7 +457,7 @@
     std::map<int, MemberId> owner;
     for (auto& [id, node] : nodes_) {
       if (!awake(node)) continue;
-      node.custody->begin(clock(node));
+      node.custody->begin_turn(clock(node));
       for (const auto& [number, doc] : node.folder.docs)
         if (node.custody->owns(doc.deed))
           if (auto [at, fresh] = owner.try_emplace(doc.world, id); !fresh)
--- a/tests/fleet/fleet_config_test.cpp
+++ b/tests/fleet/fleet_config_test.cpp
@@ -17,8 +17,8 @@
 namespace rockcrank::peer {
 namespace {
 
-const std::map<std::string, Repeat> repeats{
-    {"status", Repeat::replayable}, {"order", Repeat::numbered}, {"pay", Repeat::binding}};
+const std::map<std::string, RetrySafety> repeats{
+    {"status", RetrySafety::idempotent}, {"order", RetrySafety::keyed}, {"pay", RetrySafety::unsafe}};
 
 constexpr const char* stream_text = R"([[stream]]
 type = "status"
@@ -47,10 +47,10 @@
 TEST(FleetConfig, ReadsTheShippedFileWhole) {
   auto config = read_text(shipped() + stream_text, "n2");
   EXPECT_EQ(config.fleet, "example");
-  EXPECT_EQ(config.self, fleet::MemberId(hash_of("n2")));
+  EXPECT_EQ(config.self, fleet::MemberId(fnv1a_hash("n2")));
   ASSERT_EQ(config.roster.size(), 3u);
   EXPECT_LT(config.roster[0].id, config.roster[1].id);
-  EXPECT_EQ(config.places.at(fleet::MemberId(hash_of("n3"))), (Address{"127.0.0.1", 7948}));
+  EXPECT_EQ(config.places.at(fleet::MemberId(fnv1a_hash("n3"))), (Address{"127.0.0.1", 7948}));
   EXPECT_EQ(config.queue_bytes, 4096u * 1024);
   EXPECT_TRUE(config.share && config.wait_for_copy && config.warm);
   EXPECT_EQ(config.copies, 2);
--- a/tests/fleet/link_test.cpp
+++ b/tests/fleet/link_test.cpp
@@ -28,7 +28,7 @@
 using fleet::Incarnation;
 using fleet::MemberId;
 
-MemberId id(const std::string& name) { return MemberId(hash_of(name)); }
+MemberId id(const std::string& name) { return MemberId(fnv1a_hash(name)); }
 
 // The wire as link.cpp states it, written anew.
 std::string frame(int channel, const std::string& payload) {
@@ -142,7 +142,7 @@
     });
   }
 
-  Loop loop_;
+  EventLoop loop_;
   std::map<std::string, int> ports_;
   std::map<std::string, Node> nodes_;
   std::vector<int> opened_;
--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -58,13 +58,14 @@
     nodes[at].runs = false;
     for (int i = 0; i < size && links_tell; ++i)
       if (auto& node = nodes[i]; i != at && node.runs)
-        node.module->begin(now), node.module->linked(id(at), nodes[at].life, false), turn(i, false);
+        node.module->begin_turn(now), node.module->on_link_change(id(at), nodes[at].life, false),
+            turn(i, false);
   }
 
   void turn(int at, bool opens = true) {
     auto& node = nodes[at];
-    if (opens) node.module->begin(now);
-    for (auto& [from, message] : std::exchange(node.waiting, {})) node.module->heard(id(from), message);
+    if (opens) node.module->begin_turn(now);
+    for (auto& [from, message] : std::exchange(node.waiting, {})) node.module->on_message(id(from), message);
     auto decided = node.module->decide();
     for (auto& send : decided.sends) {
       node.sent.push_back(now);
@@ -73,7 +74,7 @@
       events.push({now + draw(least_delay, most_delay), ++order, at, to, std::move(send.message)});
     }
     node.changes.insert(node.changes.end(), decided.changes.begin(), decided.changes.end());
-    node.given_up_on += decided.given_up_on, node.twins += static_cast<int>(decided.twins.size());
+    node.given_up_on += decided.declared_dead, node.twins += static_cast<int>(decided.duplicates.size());
     node.wake = now + decided.wake_in;
     ASSERT_GE(decided.wake_in, 0);
   }
@@ -110,10 +111,10 @@
     }
   }
 
-  bool sees(int at, int other, Condition condition) {
-    return nodes[at].module->condition(id(other)) == condition;
+  bool sees(int at, int other, MemberState condition) {
+    return nodes[at].module->state(id(other)) == condition;
   }
-  bool all_see(int other, Condition condition, const std::set<int>& but = {}) {
+  bool all_see(int other, MemberState condition, const std::set<int>& but = {}) {
     for (auto& [i, node] : nodes)
       if (i != other && node.runs && !but.count(i) && !sees(i, other, condition)) return false;
     return true;
@@ -122,7 +123,7 @@
     for (auto& [i, node] : nodes)
       for (auto& [j, other] : nodes)
         if (i != j && node.runs && other.runs &&
-            (!sees(i, j, Condition::alive) || node.module->life(id(j)) != other.life))
+            (!sees(i, j, MemberState::alive) || node.module->incarnation(id(j)) != other.life))
           return false;
     return true;
   }
@@ -130,16 +131,16 @@
     std::string text;
     for (auto& [i, node] : nodes)
       for (auto& [j, other] : nodes)
-        if (i != j && node.runs && other.runs && text.size() < 200 && !sees(i, j, Condition::alive))
+        if (i != j && node.runs && other.runs && text.size() < 200 && !sees(i, j, MemberState::alive))
           text += " " + std::to_string(i) + " sees " + std::to_string(j) + " as " +
-                  std::to_string(static_cast<int>(node.module->condition(id(j))));
+                  std::to_string(static_cast<int>(node.module->state(id(j))));
     return text;
   }
   int verdicts(int on = -1) {  // "dead", said of any (or of one) by any
     int count = 0;
     for (auto& [i, node] : nodes)
       for (const auto& change : node.changes)
-        count += change.condition == Condition::dead && (on < 0 || change.member == id(on));
+        count += change.state == MemberState::dead && (on < 0 || change.member == id(on));
     return count;
   }
   void forget() {
@@ -216,7 +217,7 @@
     EXPECT_EQ(net.verdicts(), 0) << seed;
     auto [most, average] = net.rate(since);
     EXPECT_LE(most, 10);
-    EXPECT_LE(average, Membership::messages_a_second + 0.2);
+    EXPECT_LE(average, Membership::messages_per_second + 0.2);
   }
 }
 
@@ -226,7 +227,7 @@
     net.forget();
     net.kill(1, links_tell);
     auto since = net.now;
-    EXPECT_TRUE(net.run(found_dead_within(size()), [&] { return net.all_see(1, Condition::dead); }));
+    EXPECT_TRUE(net.run(found_dead_within(size()), [&] { return net.all_see(1, MemberState::dead); }));
     RecordProperty(links_tell ? "told" : "untold", std::to_string(net.now - since));
     net.run(20 * second);
     EXPECT_EQ(net.verdicts(), size() - 1);
@@ -243,7 +244,7 @@
   for (int i = 0; i < dead; ++i) net.kill(i);
   EXPECT_TRUE(net.run(2 * found_dead_within(size()), [&] {
     for (int i = 0; i < dead; ++i)
-      if (!net.all_see(i, Condition::dead)) return false;
+      if (!net.all_see(i, MemberState::dead)) return false;
     return true;
   }));
   net.forget();
@@ -274,7 +275,7 @@
 TEST_P(MembershipOf, OneThatIsHeardByNoneIsFoundDeadAndHoldsNobodyDead) {
   auto net = settled(4);
   for (int i = 1; i < size(); ++i) net.cut.insert({0, i});
-  EXPECT_TRUE(net.run(found_dead_within(size()), [&] { return net.all_see(0, Condition::dead); }));
+  EXPECT_TRUE(net.run(found_dead_within(size()), [&] { return net.all_see(0, MemberState::dead); }));
   net.run(minute);
   EXPECT_EQ(net.nodes[0].given_up_on, 1);
   EXPECT_EQ(net.verdicts() - net.verdicts(0), 0);
@@ -285,11 +286,11 @@
 TEST_P(MembershipOf, OneThatHearsNobodyHarmsNoOther) {
   auto net = settled(4);
   for (int i = 1; i < size(); ++i) net.cut.insert({i, 0});
-  EXPECT_TRUE(net.run(found_dead_within(size()), [&] { return net.all_see(0, Condition::dead); }));
+  EXPECT_TRUE(net.run(found_dead_within(size()), [&] { return net.all_see(0, MemberState::dead); }));
   net.run(minute);
   for (int i = 1; i < size(); ++i)
     for (const auto& change : net.nodes[i].changes)
-      EXPECT_TRUE(change.condition != Condition::dead || change.member == Net::id(0));
+      EXPECT_TRUE(change.state != MemberState::dead || change.member == Net::id(0));
   net.cut.clear();
   EXPECT_TRUE(net.run(healed_within(size()), [&] { return net.settled(); }));
 }
@@ -301,7 +302,7 @@
     EXPECT_TRUE(net.run(2 * found_dead_within(size()), [&] {
       for (int i = 0; i < size(); ++i)
         for (int j = 0; j < size(); ++j)
-          if (i != j && net.sees(i, j, Condition::dead) != (i % 3 != j % 3)) return false;
+          if (i != j && net.sees(i, j, MemberState::dead) != (i % 3 != j % 3)) return false;
       return true;
     }));
     net.cut.clear();
@@ -321,7 +322,7 @@
   net.run(5 * second);
   EXPECT_EQ(net.verdicts(), 0);
   net.nodes[0].stalled_until = net.now + minute;
-  EXPECT_TRUE(net.run(found_dead_within(size()), [&] { return net.all_see(0, Condition::dead, {0}); }));
+  EXPECT_TRUE(net.run(found_dead_within(size()), [&] { return net.all_see(0, MemberState::dead, {0}); }));
   net.run(net.nodes[0].stalled_until - net.now);
   EXPECT_TRUE(net.run(healed_within(size()), [&] { return net.settled(); }));
   EXPECT_GE(net.nodes[0].given_up_on, 1);
@@ -332,7 +333,7 @@
   auto net = settled(8);
   net.island([](int node) { return node == 0; });
   EXPECT_TRUE(net.run(2 * found_dead_within(size()), [&] {
-    return net.nodes[0].module->alive().size() == 1 && net.all_see(0, Condition::dead);
+    return net.nodes[0].module->alive().size() == 1 && net.all_see(0, MemberState::dead);
   }));
   net.forget();
   net.cut.clear();
@@ -351,29 +352,30 @@
       std::move(net.nodes[0].module);  // it still runs, as one that stood still while it was replaced
   net.start(0, {2, 1});
   ASSERT_TRUE(net.run(10 * second, [&] { return net.settled(); }));
-  former->begin(net.now);
-  former->heard(Net::id(1), {Beat::ping,
-                             1,
-                             Net::id(0),
-                             {{Net::id(1), net.nodes[1].life, Condition::alive, 0},
-                              {Net::id(0), {2, 1}, Condition::alive, 0}}});
+  former->begin_turn(net.now);
+  former->on_message(Net::id(1), {ProbeMessageType::ping,
+                                  1,
+                                  Net::id(0),
+                                  {{Net::id(1), net.nodes[1].life, MemberState::alive, 0},
+                                   {Net::id(0), {2, 1}, MemberState::alive, 0}}});
   auto told = former->decide();
-  ASSERT_EQ(told.twins.size(), 1u);
-  EXPECT_EQ(told.twins[0].life, (Incarnation{2, 1}));
+  ASSERT_EQ(told.duplicates.size(), 1u);
+  EXPECT_EQ(told.duplicates[0].incarnation, (Incarnation{2, 1}));
   // What it says is not believed, and it is told of its newer life.
   auto& other = *net.nodes[1].module;
-  other.begin(net.now);
-  other.heard(Net::id(0), {Beat::ping,
-                           9,
-                           Net::id(1),
-                           {{Net::id(0), {1, 1}, Condition::alive, 0},
-                            {Net::id(2), net.nodes[2].life, Condition::dead, 0}}});
+  other.begin_turn(net.now);
+  other.on_message(Net::id(0), {ProbeMessageType::ping,
+                                9,
+                                Net::id(1),
+                                {{Net::id(0), {1, 1}, MemberState::alive, 0},
+                                 {Net::id(2), net.nodes[2].life, MemberState::dead, 0}}});
   auto answer = other.decide();
-  EXPECT_EQ(other.condition(Net::id(2)), Condition::alive);
-  EXPECT_TRUE(answer.twins.empty());  // a lower number is a former self
+  EXPECT_EQ(other.state(Net::id(2)), MemberState::alive);
+  EXPECT_TRUE(answer.duplicates.empty());  // a lower number is a former self
   // One that counts alike is a restored image.
-  other.heard(Net::id(0), {Beat::ping, 9, Net::id(1), {{Net::id(0), {2, 5}, Condition::alive, 0}}});
-  EXPECT_EQ(other.decide().twins.size(), 1u);
+  other.on_message(Net::id(0),
+                   {ProbeMessageType::ping, 9, Net::id(1), {{Net::id(0), {2, 5}, MemberState::alive, 0}}});
+  EXPECT_EQ(other.decide().duplicates.size(), 1u);
 }
 
 TEST(Membership, SameSeedSameMessages) {
@@ -411,7 +413,7 @@
         auto was = net.now;
         within(told ? "3 killed, link broken: first verdict" : "5 silent: first verdict",
                [&] { return net.verdicts(gone) > 0; });
-        net.run(minute, [&] { return net.all_see(gone, Condition::dead); });
+        net.run(minute, [&] { return net.all_see(gone, MemberState::dead); });
         figures[told ? "4 killed, link broken: all know" : "6 silent: all know"].push_back(net.now - was);
         net.start(gone, {2, 7});
         net.run(minute, [&] { return net.settled(); });
--- a/tests/fleet/registers_test.cpp
+++ b/tests/fleet/registers_test.cpp
@@ -21,25 +21,26 @@
 namespace rockcrank::fleet {
 namespace {
 
-using Merged = RegisterTable::Merged;
+using Merged = RegisterTable::MergeResult;
 
 // From so few values that equal versions, ties and equal words come often.
-Word drawn_word() {
+RegisterRecord drawn_word() {
   auto below = [](int most) { return *rc::gen::inRange(0, most); };
-  Word word;
-  word.matter = Matter(below(4));
-  word.subject = word.matter == Matter::out ? "e" + std::to_string(below(2))
-                                            : "d000000000000000" + std::to_string(below(2));
+  RegisterRecord word;
+  word.kind = RegisterKind(below(4));
+  word.name = word.kind == RegisterKind::offline ? "e" + std::to_string(below(2))
+                                                 : "d000000000000000" + std::to_string(below(2));
   word.version = {std::uint64_t(below(4)), MemberId(below(3))};
-  word.life = {std::uint64_t(below(2)), 0};
-  if (word.matter == Matter::wait) word.span = 1000 * (1 + below(3));
-  if (word.matter == Matter::outage) word.state = RouteState(below(3)), word.rate_before = below(2);
-  if (word.matter == Matter::limit) word.limit = 1 + below(3), word.left_share = below(2);
-  if (word.matter == Matter::out) word.out = below(2);
+  word.incarnation = {std::uint64_t(below(2)), 0};
+  if (word.kind == RegisterKind::retry_after) word.duration = 1000 * (1 + below(3));
+  if (word.kind == RegisterKind::outage)
+    word.state = RouteState(below(3)), word.rate_before_outage = below(2);
+  if (word.kind == RegisterKind::rate_limit) word.rate_limit = 1 + below(3), word.remaining_share = below(2);
+  if (word.kind == RegisterKind::offline) word.offline = below(2);
   return word;
 }
 
-using Heard = std::vector<std::pair<Word, Millis>>;  // with the moment at which it was said
+using Heard = std::vector<std::pair<RegisterRecord, Millis>>;  // with the moment at which it was said
 Heard drawn_heard(int most) {
   Heard heard;
   for (int i = *rc::gen::inRange(0, most); i > 0; --i) {
@@ -52,14 +53,14 @@
 std::string contents(const RegisterTable& table, bool with_moments) {
   std::string all;
   for (const auto& [key, entry] : table.entries()) {
-    all += peer::packed(entry.word);
-    if (with_moments) all += peer::packed(entry.said_at);
+    all += peer::packed(entry.record);
+    if (with_moments) all += peer::packed(entry.written_at);
   }
   return all;
 }
 std::uint64_t digest(const RegisterTable& table) {
   std::uint64_t sum = 0;
-  for (Matter matter : by_rank) sum = sum * 31 + table.digest(matter, 0, 0).sum;
+  for (RegisterKind matter : kinds_by_priority) sum = sum * 31 + table.digest(matter, 0, 0).sum;
   return sum;
 }
 RegisterTable table_of(const Heard& heard) {
@@ -79,7 +80,7 @@
     auto cut = again.empty() ? 0 : *rc::gen::inRange<std::size_t>(0, again.size());
     auto first = table_of({again.begin(), again.begin() + cut});
     auto second = table_of({again.begin() + cut, again.end()});
-    for (const auto& [key, entry] : second.entries()) first.merge(entry.word, entry.said_at, 100);
+    for (const auto& [key, entry] : second.entries()) first.merge(entry.record, entry.written_at, 100);
     RC_ASSERT(contents(first, true) == contents(table_of(heard), true));
   }));
 }
@@ -88,51 +89,51 @@
   EXPECT_TRUE(rc::check("equal digests, equal contents", [] {
     auto one = table_of(drawn_heard(6)), other = table_of(drawn_heard(6));
     RC_ASSERT((digest(one) == digest(other)) == (contents(one, false) == contents(other, false)));
-    for (Matter matter : by_rank) {
+    for (RegisterKind matter : kinds_by_priority) {
       auto whole = one.digest(matter, 0, 0);
       std::uint64_t sum = 0, entries = 0;
       for (std::uint64_t i = 0; i < 1 << 14; ++i) {
         auto part = one.digest(matter, i, 14);
-        sum += part.sum, entries += part.entries;
+        sum += part.sum, entries += part.entry_count;
       }
-      RC_ASSERT(sum == whole.sum && entries == whole.entries);
+      RC_ASSERT(sum == whole.sum && entries == whole.entry_count);
     }
   }));
 }
 
 TEST(RegisterTable, KeepsBothOfOneVersionAndNamesThem) {
-  Word out, other;
-  out.matter = other.matter = Matter::out, out.subject = other.subject = "e1";
-  out.version = other.version = {5, MemberId{1}}, out.out = true;
+  RegisterRecord out, other;
+  out.kind = other.kind = RegisterKind::offline, out.name = other.name = "e1";
+  out.version = other.version = {5, MemberId{1}}, out.offline = true;
   for (bool first : {true, false}) {
     RegisterTable table;
     table.merge(first ? out : other, 0, 0), table.merge(first ? other : out, 0, 0);
-    EXPECT_TRUE(table.find(key_of(out))->word.out);
-    ASSERT_EQ(table.aside().size(), 1u);
-    EXPECT_FALSE(table.aside().begin()->second.front().out);
-    EXPECT_EQ(table.take_differing().size(), 1u);
+    EXPECT_TRUE(table.find(key_of(out))->record.offline);
+    ASSERT_EQ(table.conflicting_records().size(), 1u);
+    EXPECT_FALSE(table.conflicting_records().begin()->second.front().offline);
+    EXPECT_EQ(table.take_conflicts().size(), 1u);
     table.merge(other, 0, 0);
-    EXPECT_TRUE(table.take_differing().empty());
+    EXPECT_TRUE(table.take_conflicts().empty());
   }
 }
 
 TEST(RegisterTable, AnOldWordDoesNotComeAliveAgain) {
-  Word down;
-  down.matter = Matter::outage, down.subject = "d0000000000000001", down.state = RouteState::down;
+  RegisterRecord down;
+  down.kind = RegisterKind::outage, down.name = "d0000000000000001", down.state = RouteState::down;
   down.version = {1, MemberId{1}};
-  Word well = down;
-  well.state = RouteState::well, well.version = {2, MemberId{2}};
+  RegisterRecord well = down;
+  well.state = RouteState::healthy, well.version = {2, MemberId{2}};
   RegisterTable table;
   table.merge(down, 0, 0), table.merge(well, 1000, 1000);
-  auto end = 1000 + life_of(well);
+  auto end = 1000 + retention_of(well);
   for (Millis now = 2000; now < end + 5000; now += 60e3) {
-    table.forget(now);
-    EXPECT_NE(table.merge(down, 0, now), Merged::news) << now;
+    table.remove_outdated(now);
+    EXPECT_NE(table.merge(down, 0, now), Merged::applied) << now;
   }
-  table.forget(end + 1);
+  table.remove_outdated(end + 1);
   EXPECT_TRUE(table.entries().empty());
-  EXPECT_EQ(table.merge(down, 0, end + 1), Merged::dead);
-  EXPECT_EQ(table.digest(Matter::outage, 0, 0).sum, 0u);
+  EXPECT_EQ(table.merge(down, 0, end + 1), Merged::outdated);
+  EXPECT_EQ(table.digest(RegisterKind::outage, 0, 0).sum, 0u);
 }
 
 // --- members on a virtual clock ---
@@ -146,7 +147,7 @@
     std::map<std::string, Millis> wait_ends;  // as learned, on the true clock
     std::map<std::string, bool> outs;
     std::vector<std::string> differing;
-    std::vector<Knowledge> learned;
+    std::vector<RouteStatus> learned;
     std::size_t bytes = 0;
   };
   struct Event {
@@ -161,40 +162,40 @@
 
   explicit Net(std::size_t size, unsigned seed) : chance(seed), nodes(size) {
     for (std::size_t i = 0; i < size; ++i) {
-      ids.push_back(MemberId{subject_hash("member" + std::to_string(i))});
+      ids.push_back(MemberId{name_hash("member" + std::to_string(i))});
       numbers[ids[i]] = i;
     }
     for (std::size_t i = 0; i < size; ++i) start(i, 1);
     for (std::size_t i = 0; i < size; ++i)
       for (std::size_t j = 0; j < size; ++j)
-        if (i != j) nodes[i].registers->linked(ids[j], true);
+        if (i != j) nodes[i].registers->on_link_change(ids[j], true);
   }
   double draw(double low, double high) { return std::uniform_real_distribution<double>(low, high)(chance); }
   void start(std::size_t i, std::uint64_t life) {
     nodes[i] = {};
     nodes[i].ahead = draw(0, 600e3);
     nodes[i].registers = Registers::make(ids[i], {life, i}, static_cast<int>(nodes.size()), chance());
-    nodes[i].registers->begin(now + nodes[i].ahead);
-    nodes[i].registers->alive(living);
-    if (living.empty()) nodes[i].registers->alive(ids);
+    nodes[i].registers->begin_turn(now + nodes[i].ahead);
+    nodes[i].registers->set_alive(living);
+    if (living.empty()) nodes[i].registers->set_alive(ids);
     queue.push({now + draw(0, 1), ++number, i, i, {}});
   }
   void link(std::size_t a, std::size_t b, bool up) {
     if (up) cuts.erase({a, b}), cuts.erase({b, a});
     else cuts.insert({a, b}), cuts.insert({b, a});
-    nodes[a].registers->linked(ids[b], up), nodes[b].registers->linked(ids[a], up);
+    nodes[a].registers->on_link_change(ids[b], up), nodes[b].registers->on_link_change(ids[a], up);
     turn(a), turn(b);
   }
   // One node's turn: what is put in before it, by do_first.
   void turn(std::size_t i, const std::function<void(Registers&)>& do_first = {}) {
     Node& node = nodes[i];
-    node.registers->begin(now + node.ahead);
+    node.registers->begin_turn(now + node.ahead);
     if (do_first) do_first(*node.registers);
     auto decided = node.registers->decide();
     for (const auto& send : decided.sends) {
       auto bytes = peer::packed(send.message);
       node.sent.push_back(now), node.bytes += bytes.size(), ++messages;
-      words += send.message.words.size();
+      words += send.message.records.size();
       largest = std::max(largest, bytes.size());
       auto to = numbers.at(send.to);
       if (cuts.count({i, to}) || draw(0, 1) < loss) continue;
@@ -203,15 +204,16 @@
       last = at = std::max(at, last);
       queue.push({at, ++number, to, i, bytes});
     }
-    for (const auto& known : decided.learned) {
+    for (const auto& known : decided.route_reports) {
       node.learned.push_back(known);
-      if (known.told_left > 0 && !node.wait_ends.count(std::to_string(known.route))) ++knowing[known.route];
+      if (known.retry_after_left > 0 && !node.wait_ends.count(std::to_string(known.route)))
+        ++knowing[known.route];
       // As the decision module does: a wait is never shortened.
       auto& end = node.wait_ends[std::to_string(known.route)];
-      end = std::max(end, now + known.told_left);
+      end = std::max(end, now + known.retry_after_left);
     }
-    for (const auto& out : decided.outs) node.outs[out.endpoint] = out.out;
-    node.differing.insert(node.differing.end(), decided.differing.begin(), decided.differing.end());
+    for (const auto& out : decided.offline_orders) node.outs[out.endpoint] = out.offline;
+    node.differing.insert(node.differing.end(), decided.conflicts.begin(), decided.conflicts.end());
     if (decided.wake_in >= 0) {
       auto at = now + std::max(decided.wake_in, 1.0);
       if (node.wake <= now || at < node.wake) node.wake = at, queue.push({at, ++number, i, i, {}});
@@ -226,7 +228,7 @@
       return true;
     }
     turn(event.to, [&](Registers& registers) {
-      registers.heard(ids[event.from], peer::unpacked<RegisterMessage>(event.bytes));
+      registers.on_message(ids[event.from], peer::unpacked<RegisterMessage>(event.bytes));
     });
     return true;
   }
@@ -241,8 +243,8 @@
   }
   std::string contents(std::size_t i) {
     std::set<std::string> all;
-    nodes[i].registers->begin(now + nodes[i].ahead);
-    for (auto word : nodes[i].registers->all()) word.age = 0, all.insert(peer::packed(word));
+    nodes[i].registers->begin_turn(now + nodes[i].ahead);
+    for (auto word : nodes[i].registers->all_records()) word.age = 0, all.insert(peer::packed(word));
     return peer::packed(all);
   }
   bool alike(const std::vector<std::size_t>& which) {
@@ -279,9 +281,9 @@
   std::map<std::uint64_t, std::size_t> knowing;  // how many have learned of a wait
 };
 
-Knowledge told_wait(std::uint64_t route, Millis left) {
-  Knowledge known;
-  known.route = route, known.told_left = left, known.state_age = 1e18;
+RouteStatus told_wait(std::uint64_t route, Millis left) {
+  RouteStatus known;
+  known.route = route, known.retry_after_left = left, known.state_age = 1e18;
   return known;
 }
 
@@ -305,27 +307,27 @@
       std::uint64_t route = 1 + said % 3;
       auto& end = ends[std::to_string(route)];
       end = std::max(end, net.now + left);
-      net.turn(i, [&](Registers& r) { r.tell(told_wait(route, left)); });
+      net.turn(i, [&](Registers& r) { r.publish(told_wait(route, left)); });
       // What one has learned comes back from the decision module, as if it were its own.
       auto j = static_cast<std::size_t>(net.draw(0, static_cast<double>(size)));
       auto learned = net.nodes[j].wait_ends;
       for (const auto& [name, known] : learned)
-        net.turn(j, [&](Registers& r) { r.tell(told_wait(std::stoull(name), known - net.now)); });
+        net.turn(j, [&](Registers& r) { r.publish(told_wait(std::stoull(name), known - net.now)); });
       net.run(net.draw(0, 300));
     }
     RC_ASSERT(net.run_until(40e3, [&] { return net.alike(net.everyone()); }));
     for (std::size_t i = 0; i < size; ++i)
-      for (const auto& word : net.nodes[i].registers->all()) {
-        auto end = net.now + word.span - word.age;
-        auto told = ends.at(std::to_string(std::stoull(word.subject.substr(1), nullptr, 16)));
+      for (const auto& word : net.nodes[i].registers->all_records()) {
+        auto end = net.now + word.duration - word.age;
+        auto told = ends.at(std::to_string(std::stoull(word.name.substr(1), nullptr, 16)));
         RC_ASSERT(end <= told + static_cast<double>(size) * net.most_delay);
       }
     for (const auto& [name, told] : ends)
       for (std::size_t i = 0; i < size; ++i) {
         Millis end = 0;
-        for (const auto& word : net.nodes[i].registers->all())
-          if (std::stoull(word.subject.substr(1), nullptr, 16) == std::stoull(name))
-            end = std::max(end, net.now + word.span - word.age);
+        for (const auto& word : net.nodes[i].registers->all_records())
+          if (std::stoull(word.name.substr(1), nullptr, 16) == std::stoull(name))
+            end = std::max(end, net.now + word.duration - word.age);
         RC_ASSERT(end >= told - 0.01);
       }
   }));
@@ -336,13 +338,13 @@
   Net net(2, 1);
   net.run(3000);
   auto bytes = std::string();
-  net.nodes[0].registers->begin(net.now + net.nodes[0].ahead);
-  net.nodes[0].registers->tell(told_wait(7, 60e3));
+  net.nodes[0].registers->begin_turn(net.now + net.nodes[0].ahead);
+  net.nodes[0].registers->publish(told_wait(7, 60e3));
   auto told_end = net.now + 60e3;
   for (const auto& send : net.nodes[0].registers->decide().sends) bytes = peer::packed(send.message);
   ASSERT_FALSE(bytes.empty());
   net.now += 40e3;  // nothing ran
-  net.turn(1, [&](Registers& r) { r.heard(net.ids[0], peer::unpacked<RegisterMessage>(bytes)); });
+  net.turn(1, [&](Registers& r) { r.on_message(net.ids[0], peer::unpacked<RegisterMessage>(bytes)); });
   ASSERT_TRUE(net.nodes[1].wait_ends.count("7"));
   EXPECT_GE(net.nodes[1].wait_ends["7"], told_end);
   EXPECT_LE(net.nodes[1].wait_ends["7"], told_end + 0.001 * 45e3 + 10);
@@ -372,7 +374,7 @@
     std::uint64_t route = 100 + i;
     auto from = static_cast<std::size_t>(net.draw(0, static_cast<double>(size)));
     open[route] = net.now;
-    net.turn(from, [&](Registers& r) { r.tell(told_wait(route, 30e3)); });
+    net.turn(from, [&](Registers& r) { r.publish(told_wait(route, 30e3)); });
     auto next = net.now + (i + 1 == waits ? 5000 : apart);
     while (net.step(next)) look();
   }
@@ -417,7 +419,7 @@
   net.run(3000);
   net.link(0, 1, false);
   net.run(1000);
-  net.turn(0, [](Registers& r) { r.tell(told_wait(9, 5000)); });
+  net.turn(0, [](Registers& r) { r.publish(told_wait(9, 5000)); });
   auto told = net.now;
   ASSERT_TRUE(net.run_until(100, [&] { return net.nodes[1].wait_ends.count("9") > 0; }));
   EXPECT_LT(net.now - told, 20);
@@ -428,17 +430,19 @@
 TEST(Registers, OrdersOfStaffAreSettledByTheLast) {
   Net net(4, 6);
   net.run(2000);
-  net.turn(0, [](Registers& r) { r.tell_out("10.0.0.1:80", true); });
+  net.turn(0, [](Registers& r) { r.publish_offline("10.0.0.1:80", true); });
   net.run(500);
   EXPECT_TRUE(net.nodes[3].outs["10.0.0.1:80"]);
-  net.turn(3, [](Registers& r) { r.tell_out("10.0.0.1:80", false); });
+  net.turn(3, [](Registers& r) { r.publish_offline("10.0.0.1:80", false); });
   net.run(500);
   EXPECT_FALSE(net.nodes[0].outs["10.0.0.1:80"]);
   // Two at once, on both sides of a cut: out.
   for (std::size_t i : {0, 1})
     for (std::size_t j : {2, 3}) net.link(i, j, false);
-  net.turn(0, [](Registers& r) { r.tell_out("10.0.0.2:80", true); });
-  net.turn(3, [](Registers& r) { r.tell_out("10.0.0.2:80", true), r.tell_out("10.0.0.2:80", false); });
+  net.turn(0, [](Registers& r) { r.publish_offline("10.0.0.2:80", true); });
+  net.turn(3, [](Registers& r) {
+    r.publish_offline("10.0.0.2:80", true), r.publish_offline("10.0.0.2:80", false);
+  });
   net.run(1000);
   EXPECT_TRUE(net.nodes[1].outs["10.0.0.2:80"]);
   EXPECT_FALSE(net.nodes[2].outs["10.0.0.2:80"]);
@@ -451,28 +455,29 @@
 TEST(Registers, CatchUpGoesOnWhereItWas) {
   Net net(3, 7);
   constexpr std::uint64_t entries = 20000;
-  std::vector<Word> words;
+  std::vector<RegisterRecord> words;
   for (std::uint64_t i = 0; i < entries; ++i) {
-    Word word;
+    RegisterRecord word;
     char text[24];
     std::snprintf(text, sizeof text, "d%016llx", static_cast<unsigned long long>(i));
-    word.matter = i % 100 ? Matter::outage : Matter::wait, word.subject = text,
+    word.kind = i % 100 ? RegisterKind::outage : RegisterKind::retry_after, word.name = text,
     word.version = {i, net.ids[2]};
-    word.life = {1, 2};
+    word.incarnation = {1, 2};
     if (i % 100) word.state = RouteState::down;
-    else word.span = 600e3;
+    else word.duration = 600e3;
     words.push_back(word);
   }
   for (std::size_t i : {1, 2}) net.nodes[i].registers->restore(words, 0);
   EXPECT_FALSE(net.nodes[0].registers->caught_up());
   auto whole = peer::packed(words).size();
-  auto held = [&] { return net.nodes[0].registers->all(); };
+  auto held = [&] { return net.nodes[0].registers->all_records(); };
   ASSERT_TRUE(net.run_until(10e3, [&] { return net.words > entries / 2; }));
   for (std::size_t j : {1, 2}) net.link(0, j, false);
   net.run(2000);
   auto before = held();
   EXPECT_GT(before.size(), entries / 4);
-  EXPECT_EQ(std::count_if(before.begin(), before.end(), [](auto& w) { return w.matter == Matter::wait; }),
+  EXPECT_EQ(std::count_if(before.begin(), before.end(),
+                          [](auto& w) { return w.kind == RegisterKind::retry_after; }),
             200);
   net.words = 0;
   for (std::size_t j : {1, 2}) net.link(0, j, true);
@@ -486,16 +491,16 @@
 TEST(Registers, CatchUpCostsLittleWhereLittleDiffers) {
   Net net(2, 8);
   constexpr std::uint64_t entries = 100000;
-  std::vector<Word> old, fresh;
+  std::vector<RegisterRecord> old, fresh;
   for (std::uint64_t i = 0; i < entries; ++i) {
-    Word word;
+    RegisterRecord word;
     char text[24];
     std::snprintf(text, sizeof text, "d%016llx", static_cast<unsigned long long>(i * 2654435761u));
-    word.matter = Matter::outage, word.subject = text;
-    word.version = {(1ull << 40) + i, net.ids[i % 2]}, word.life = {1ull << 40, i % 2},
+    word.kind = RegisterKind::outage, word.name = text;
+    word.version = {(1ull << 40) + i, net.ids[i % 2]}, word.incarnation = {1ull << 40, i % 2},
     word.state = RouteState::down;
     old.push_back(word);
-    if (i % 100 == 0) word.version.count += entries, word.state = RouteState::returning;
+    if (i % 100 == 0) word.version.counter += entries, word.state = RouteState::recovering;
     fresh.push_back(word);
   }
   net.nodes[0].registers->restore(old, 0), net.nodes[1].registers->restore(fresh, 0);
@@ -513,17 +518,17 @@
 TEST(Registers, ARestartedMemberKnowsToTheExactEnd) {
   Net net(2, 9);
   net.run(2000);
-  net.turn(0, [](Registers& r) { r.tell(told_wait(3, 60e3)); });
+  net.turn(0, [](Registers& r) { r.publish(told_wait(3, 60e3)); });
   auto end = net.now + 60e3;
   net.run(1000);
   net.link(0, 1, false);
-  auto words = net.nodes[1].registers->all();
+  auto words = net.nodes[1].registers->all_records();
   net.now += 10e3;
   net.start(1, 2);
   net.turn(1, [&](Registers& r) { r.restore(words, 10e3); });
   EXPECT_NEAR(net.nodes[1].wait_ends["3"], end, net.most_delay);
   // Its own words are newer than those of its earlier life from the start.
-  net.turn(1, [&](Registers& r) { r.tell(told_wait(3, 100e3)); });
+  net.turn(1, [&](Registers& r) { r.publish(told_wait(3, 100e3)); });
   net.link(0, 1, true);
   ASSERT_TRUE(net.run_until(5000, [&] { return net.nodes[0].wait_ends["3"] > net.now + 90e3; }));
 }
@@ -533,8 +538,8 @@
   net.run(5000);
   net.messages = 0;
   for (int i = 0; i < 100; ++i) {
-    Knowledge known = told_wait(4, 0);  // well, as ever
-    net.turn(0, [&](Registers& r) { r.tell(known); });
+    RouteStatus known = told_wait(4, 0);  // well, as ever
+    net.turn(0, [&](Registers& r) { r.publish(known); });
     net.run(100);
   }
   EXPECT_LT(net.messages, 3 * 10 * 2.5);
@@ -543,29 +548,29 @@
 
 TEST(Registers, RefusesWhatCannotBe) {
   Net net(2, 12);
-  Word good;
-  good.matter = Matter::wait, good.subject = "d0000000000000001", good.span = 10;
+  RegisterRecord good;
+  good.kind = RegisterKind::retry_after, good.name = "d0000000000000001", good.duration = 10;
   auto refused = [&](auto change) {
-    Word word = good;
+    RegisterRecord word = good;
     change(word);
     RegisterMessage message;
-    message.words = {word};
-    net.nodes[0].registers->begin(1);
-    EXPECT_THROW(net.nodes[0].registers->heard(net.ids[1], message), BadMessage);
+    message.records = {word};
+    net.nodes[0].registers->begin_turn(1);
+    EXPECT_THROW(net.nodes[0].registers->on_message(net.ids[1], message), BadMessage);
     EXPECT_THROW(net.nodes[0].registers->restore({good, word}, 0), BadMessage);
-    EXPECT_TRUE(net.nodes[0].registers->all().empty());
+    EXPECT_TRUE(net.nodes[0].registers->all_records().empty());
   };
-  refused([](Word& word) { word.span = std::nan(""); });
-  refused([](Word& word) { word.span = 1e18; });
-  refused([](Word& word) { word.age = -1; });
-  refused([](Word& word) { word.subject = "d1"; });
-  refused([](Word& word) { word.subject = "x0000000000000001"; });
-  refused([](Word& word) { word.version.count = UINT64_MAX; });
-  refused([](Word& word) { word.state = RouteState(9); });
-  refused([](Word& word) { word.matter = Matter(9); });
+  refused([](RegisterRecord& word) { word.duration = std::nan(""); });
+  refused([](RegisterRecord& word) { word.duration = 1e18; });
+  refused([](RegisterRecord& word) { word.age = -1; });
+  refused([](RegisterRecord& word) { word.name = "d1"; });
+  refused([](RegisterRecord& word) { word.name = "x0000000000000001"; });
+  refused([](RegisterRecord& word) { word.version.counter = UINT64_MAX; });
+  refused([](RegisterRecord& word) { word.state = RouteState(9); });
+  refused([](RegisterRecord& word) { word.kind = RegisterKind(9); });
   RegisterMessage message;
-  message.wanted = {{Matter::wait, 16, 4, 0, 0}};
-  EXPECT_THROW(net.nodes[0].registers->heard(net.ids[1], message), BadMessage);
+  message.requested = {{RegisterKind::retry_after, 16, 4, 0, 0}};
+  EXPECT_THROW(net.nodes[0].registers->on_message(net.ids[1], message), BadMessage);
 }
 
 }  // namespace
--- a/tests/fleet/notes_test.cpp
+++ b/tests/fleet/route_gossip_test.cpp
@@ -1,6 +1,6 @@
 // Holds the short notes to their word: small enough, said once by one of many, bounded in rate, and no more
 // than was known.
-#include "fleet/notes.h"
+#include "fleet/route_gossip.h"
 
 #include <gtest/gtest.h>
 
@@ -15,14 +15,14 @@
 namespace rockcrank::fleet {
 namespace {
 
-Knowledge wait_of(std::uint64_t route, Millis left) {
-  Knowledge known;
-  known.route = route, known.told_left = left;
+RouteStatus wait_of(std::uint64_t route, Millis left) {
+  RouteStatus known;
+  known.route = route, known.retry_after_left = left;
   return known;
 }
-Knowledge state_of(std::uint64_t route, RouteState state, Millis age = 0) {
-  Knowledge known;
-  known.route = route, known.state = state, known.state_age = age, known.rate_before = 3.5;
+RouteStatus state_of(std::uint64_t route, RouteState state, Millis age = 0) {
+  RouteStatus known;
+  known.route = route, known.state = state, known.state_age = age, known.rate_before_outage = 3.5;
   return known;
 }
 
@@ -30,11 +30,11 @@
 class Tier {
  public:
   explicit Tier(int relays, double lost = 0) : lost_(lost), chance_(7) {
-    for (int i = 0; i < relays; ++i) notes_.push_back(Notes::make(static_cast<std::uint64_t>(i) + 11));
+    for (int i = 0; i < relays; ++i) notes_.push_back(RouteGossip::make(static_cast<std::uint64_t>(i) + 11));
     learned.resize(notes_.size());
   }
-  void tell(int relay, const Knowledge& known) {
-    at(relay).tell(known);
+  void tell(int relay, const RouteStatus& known) {
+    at(relay).publish(known);
     turn(relay);
   }
   void run_to(Millis until) {
@@ -43,8 +43,8 @@
       events_.erase(events_.begin());
       now_ = when;
       if (!event.datagram.empty()) {
-        at(event.relay).heard(event.datagram);
-        for (const auto& known : at(event.relay).learned())
+        at(event.relay).on_datagram(event.datagram);
+        for (const auto& known : at(event.relay).take_reports())
           learned[static_cast<std::size_t>(event.relay)].emplace_back(now_, known);
       }
       turn(event.relay);
@@ -53,23 +53,23 @@
   }
 
   int sent = 0;
-  std::vector<std::vector<std::pair<Millis, Knowledge>>> learned;
+  std::vector<std::vector<std::pair<Millis, RouteStatus>>> learned;
 
  private:
   struct Event {
     int relay = 0;
-    Datagram datagram;
+    RouteDatagram datagram;
   };
-  Notes& at(int relay) {
+  RouteGossip& at(int relay) {
     auto& notes = *notes_[static_cast<std::size_t>(relay)];
-    notes.begin(now_);
+    notes.begin_turn(now_);
     return notes;
   }
   void turn(int relay) {
     auto decided = at(relay).decide();
     for (const auto& datagram : decided.datagrams) {
       ++sent;
-      EXPECT_LE(datagram.size(), notes_most);
+      EXPECT_LE(datagram.size(), max_updates_per_datagram);
       EXPECT_LE(peer::packed(datagram).size(), 256u);
       for (int other = 0; other < static_cast<int>(notes_.size()); ++other)
         if (other != relay && std::uniform_real_distribution<>(0, 1)(chance_) >= lost_)
@@ -81,7 +81,7 @@
   const double lost_;
   std::minstd_rand chance_;
   Millis now_ = 1000;
-  std::vector<std::unique_ptr<Notes>> notes_;
+  std::vector<std::unique_ptr<RouteGossip>> notes_;
   std::multimap<Millis, Event> events_;
 };
 
@@ -105,15 +105,15 @@
   for (std::size_t i = 1; i < 5; ++i) {
     ASSERT_EQ(tier.learned[i].size(), 1u);
     const auto& [when, known] = tier.learned[i][0];
-    EXPECT_LE(when + known.told_left, 1900 + 8);  // beyond it by no more than the time on its way
-    EXPECT_GE(when + known.told_left, 1900 - 1);
+    EXPECT_LE(when + known.retry_after_left, 1900 + 8);  // beyond it by no more than the time on its way
+    EXPECT_GE(when + known.retry_after_left, 1900 - 1);
   }
 }
 
 TEST(Notes, WhatIsOverSoonOrSaidAlreadyIsNotWorthOne) {
   Tier tier(3);
   tier.tell(0, wait_of(4, 100));
-  tier.tell(0, state_of(5, RouteState::well));
+  tier.tell(0, state_of(5, RouteState::healthy));
   tier.run_to(2000);
   EXPECT_EQ(tier.sent, 0);
   tier.tell(0, wait_of(4, 2000));
@@ -130,16 +130,16 @@
   Tier tier(3);
   tier.tell(0, state_of(5, RouteState::down, 300));
   tier.run_to(1500);
-  tier.tell(0, state_of(5, RouteState::returning));
+  tier.tell(0, state_of(5, RouteState::recovering));
   tier.run_to(2000);
-  tier.tell(0, state_of(5, RouteState::well));
+  tier.tell(0, state_of(5, RouteState::healthy));
   tier.run_to(2500);
   ASSERT_EQ(tier.learned[1].size(), 3u);
   EXPECT_EQ(tier.learned[1][0].second.state, RouteState::down);
   EXPECT_GE(tier.learned[1][0].second.state_age, 300);
-  EXPECT_NEAR(tier.learned[1][0].second.rate_before, 3.5, 0.001);
-  EXPECT_EQ(tier.learned[1][1].second.state, RouteState::returning);
-  EXPECT_EQ(tier.learned[1][2].second.state, RouteState::well);
+  EXPECT_NEAR(tier.learned[1][0].second.rate_before_outage, 3.5, 0.001);
+  EXPECT_EQ(tier.learned[1][1].second.state, RouteState::recovering);
+  EXPECT_EQ(tier.learned[1][2].second.state, RouteState::healthy);
 }
 
 TEST(Notes, NoRelaySaysMoreThanItsRate) {
@@ -154,13 +154,14 @@
 }
 
 TEST(Notes, WhatALaterVersionSaysIsPassedOver) {
-  auto notes = Notes::make(1);
-  notes->begin(10);
-  notes->heard({{static_cast<Said>(9), false, 1, 100, 0, 0}, {Said::wait, false, 2, 700, 0, 0}});
-  auto known = notes->learned();
+  auto notes = RouteGossip::make(1);
+  notes->begin_turn(10);
+  notes->on_datagram(
+      {{static_cast<UpdateKind>(9), false, 1, 100, 0, 0}, {UpdateKind::retry_after, false, 2, 700, 0, 0}});
+  auto known = notes->take_reports();
   ASSERT_EQ(known.size(), 1u);
   EXPECT_EQ(known[0].route, 2u);
-  EXPECT_EQ(known[0].told_left, 700);
+  EXPECT_EQ(known[0].retry_after_left, 700);
 }
 
 }  // namespace
--- a/tests/fleet/segments_test.cpp
+++ b/tests/fleet/segments_test.cpp
@@ -60,7 +60,7 @@
     try {
       log.take(one);
       told.newest[one.key] = one.id;
-    } catch (const fleet::NoRoom&) {}
+    } catch (const fleet::StorageUnavailable&) {}
     told.under_way_key.clear();
     for (int turn = 0; turn < 3; ++turn) {
       now += 10, log.begin(now, 1e6 + now);
@@ -181,7 +181,7 @@
     std::unique_ptr<LatestLog> log;
     try {
       log = open(disk, now);
-    } catch (const fleet::NoRoom&) { continue; }
+    } catch (const fleet::StorageUnavailable&) { continue; }
     play(*log, told, now, 0, 150);
     audit(*log, told, when);
     torn += told.newest.size() < 11 || disk->taken() == room;
@@ -225,7 +225,7 @@
       try {
         log->take(record(i, i, 300));
         kept.insert(i);
-      } catch (const fleet::NoRoom&) { ++refused; }
+      } catch (const fleet::StorageUnavailable&) { ++refused; }
       log->decide();
     }
   }
--- a/tests/fleet/state_file_test.cpp
+++ b/tests/fleet/state_file_test.cpp
@@ -16,9 +16,9 @@
 namespace rockcrank::peer {
 namespace {
 
-using fleet::Matter;
 using fleet::MemberId;
-using fleet::Word;
+using fleet::RegisterKind;
+using fleet::RegisterRecord;
 
 class StateFileTest : public ::testing::Test {
  protected:
@@ -28,16 +28,16 @@
   }
   ~StateFileTest() override { std::filesystem::remove_all(folder); }
 
-  static Word wait(std::uint64_t route, Millis span) {
+  static RegisterRecord wait(std::uint64_t route, Millis span) {
     char text[24];
     std::snprintf(text, sizeof text, "d%016llx", static_cast<unsigned long long>(route));
-    Word word;
-    word.matter = Matter::wait, word.subject = text, word.span = span, word.age = 100;
+    RegisterRecord word;
+    word.kind = RegisterKind::retry_after, word.name = text, word.duration = span, word.age = 100;
     word.version = {1000 + route, MemberId{7}};
     return word;
   }
   static Moment at(Millis wall, const std::string& boot = "b1") { return {boot, wall - 5000, wall}; }
-  void written(const std::vector<Word>& words, const Moment& when) {
+  void written(const std::vector<RegisterRecord>& words, const Moment& when) {
     StateFile file(path, "f", MemberId{7});
     std::string why;
     ASSERT_TRUE(file.write(words, when, why)) << why;
@@ -72,8 +72,8 @@
   ASSERT_TRUE(kept) << why;
   EXPECT_NEAR(kept->gone_for, 12345, 0.01);
   ASSERT_EQ(kept->words.size(), 2u);
-  EXPECT_EQ(kept->words[1].subject, wait(2, 0).subject);
-  EXPECT_EQ(kept->words[1].span, 70e3);
+  EXPECT_EQ(kept->words[1].name, wait(2, 0).name);
+  EXPECT_EQ(kept->words[1].duration, 70e3);
 }
 
 TEST_F(StateFileTest, AStepOfTheWallClockOnOneMachineDoesNotMatter) {
@@ -138,7 +138,7 @@
 }
 
 TEST_F(StateFileTest, KeepsTheMostNeededWithinItsBound) {
-  std::vector<Word> words;
+  std::vector<RegisterRecord> words;
   for (std::uint64_t i = 0; i < 20000; ++i) words.push_back(wait(i, 60e3));
   written(words, at(1e12));
   EXPECT_LE(std::filesystem::file_size(path), state_file_bytes);
@@ -147,7 +147,7 @@
   auto kept = file.read(at(1e12), why);
   ASSERT_TRUE(kept) << why;
   EXPECT_GT(kept->words.size(), 500u);
-  EXPECT_EQ(kept->words[10].subject, words[10].subject);
+  EXPECT_EQ(kept->words[10].name, words[10].name);
 }
 
 TEST_F(StateFileTest, WhatCannotBeWrittenLeavesWhatStands) {
@@ -159,7 +159,7 @@
   EXPECT_NE(why.find("cannot be kept"), std::string::npos);
   auto kept = file.read(at(1e12), why);
   ASSERT_TRUE(kept) << why;
-  EXPECT_EQ(kept->words[0].subject, wait(1, 0).subject);
+  EXPECT_EQ(kept->words[0].name, wait(1, 0).name);
 }
 
 }  // namespace
--- a/tests/fleet/warm_test.cpp
+++ b/tests/fleet/warm_test.cpp
@@ -636,11 +636,11 @@
 // --- Connections opened ahead, on loopback.
 
 struct Lines {
-  Loop loop;
+  EventLoop loop;
   std::vector<int> taken;
   std::unique_ptr<Listener> listener;
   Endpoints endpoints;
-  std::vector<Endpoints::Ahead> told;
+  std::vector<Endpoints::PreconnectEvent> told;
   std::vector<Outcome> outcomes;
   std::function<bool()> until;
   Timer look;
@@ -657,14 +657,16 @@
     getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
     port = ntohs(at.sin_port);
     listener = std::make_unique<Listener>(loop, fd, [this](int taken_fd) { taken.push_back(taken_fd); });
-    endpoints.on_ahead = [this](EndpointId, Endpoints::Ahead what) { told.push_back(what); };
+    endpoints.on_preconnect = [this](EndpointId, Endpoints::PreconnectEvent what) { told.push_back(what); };
     endpoints.on_outcome = [this](const Outcome& outcome) { outcomes.push_back(outcome); };
     endpoints.on_connecting = [](DocId, int) {};
-    endpoints.on_writing = [](EndpointId, const std::vector<Endpoints::Item>&) { return true; };
-    endpoints.is_over = [](DocId) { return false; };
-    endpoints.may_begin = [](DocId, int) { return MayBegin::now; };
-    endpoints.idle_most = 1e18;
-    endpoints.locate(EndpointId{1}, {"127.0.0.1", port});
+    endpoints.before_write = [](EndpointId, const std::vector<Endpoints::InFlightTransmission>&) {
+      return true;
+    };
+    endpoints.is_finished = [](DocId) { return false; };
+    endpoints.may_begin = [](DocId, int) { return SendPermission::now; };
+    endpoints.max_idle_time = 1e18;
+    endpoints.set_address(EndpointId{1}, {"127.0.0.1", port});
   }
   ~Lines() {
     listener.reset(), ::close(listening);
@@ -682,14 +684,14 @@
   }
 };
 
-using Ahead = Endpoints::Ahead;
+using Ahead = Endpoints::PreconnectEvent;
 
 TEST(OpenAhead, RestsUntilItIsUsed) {
   Lines lines;
-  ASSERT_TRUE(lines.endpoints.open_ahead(EndpointId{1}));
+  ASSERT_TRUE(lines.endpoints.preconnect(EndpointId{1}));
   EXPECT_EQ(lines.endpoints.connections(EndpointId{1}), 1);
   lines.run([&] { return lines.told.size() == 1 && lines.taken.size() == 1; });
-  EXPECT_EQ(lines.told[0], Ahead::up);
+  EXPECT_EQ(lines.told[0], Ahead::connected);
   lines.endpoints.call(EndpointId{1}, {{DocId{1}, 0, 300, "id", "", "body"}});
   EXPECT_EQ(lines.told.back(), Ahead::used);
   EXPECT_EQ(lines.endpoints.connections(), 1U);  // no second one
@@ -700,14 +702,14 @@
   const char answer[] = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
   EXPECT_GT(send(lines.taken[0], answer, sizeof answer - 1, 0), 0);
   lines.run([&] { return lines.outcomes.size() == 1; });
-  EXPECT_EQ(lines.outcomes[0].ending, Ending::answered);
-  EXPECT_GT(lines.outcomes[0].kept, 0);
+  EXPECT_EQ(lines.outcomes[0].result, TransmissionResult::answered);
+  EXPECT_GT(lines.outcomes[0].connection_idle_time, 0);
   EXPECT_EQ(lines.told.size(), 2U);
 }
 
 TEST(OpenAhead, ACallTakesOneThatIsComingUp) {
   Lines lines;
-  ASSERT_TRUE(lines.endpoints.open_ahead(EndpointId{1}));
+  ASSERT_TRUE(lines.endpoints.preconnect(EndpointId{1}));
   lines.endpoints.call(EndpointId{1}, {{DocId{1}, 0, 300, "id", "", "body"}});
   EXPECT_EQ(lines.endpoints.connections(), 1U);
   ASSERT_EQ(lines.told, std::vector{Ahead::used});
@@ -719,30 +721,30 @@
 
 TEST(OpenAhead, TellsOfThoseNeverUsed) {
   Lines lines;
-  ASSERT_TRUE(lines.endpoints.open_ahead(EndpointId{1}));
+  ASSERT_TRUE(lines.endpoints.preconnect(EndpointId{1}));
   lines.run([&] { return lines.endpoints.connections() == 0; });  // at rest for as long as any may be
-  EXPECT_EQ(lines.told, (std::vector{Ahead::up, Ahead::unused}));
+  EXPECT_EQ(lines.told, (std::vector{Ahead::connected, Ahead::unused}));
   lines.told.clear();
-  ASSERT_TRUE(lines.endpoints.open_ahead(EndpointId{1}));
+  ASSERT_TRUE(lines.endpoints.preconnect(EndpointId{1}));
   lines.run([&] { return lines.taken.size() == 2 && lines.told.size() == 1; });
   ::close(std::exchange(lines.taken[1], -1));  // by the endpoint
   lines.run([&] { return lines.told.size() == 2; });
   EXPECT_EQ(lines.told[1], Ahead::unused);
   lines.told.clear(), lines.listener.reset(), ::close(std::exchange(lines.listening, -1));
-  bool opened = lines.endpoints.open_ahead(EndpointId{1});  // refused, at once or a moment later
+  bool opened = lines.endpoints.preconnect(EndpointId{1});  // refused, at once or a moment later
   if (opened) lines.run([&] { return !lines.told.empty(); });
   EXPECT_TRUE(!opened || lines.told == std::vector{Ahead::failed});
-  EXPECT_FALSE(lines.endpoints.open_ahead(EndpointId{9}));  // no place
+  EXPECT_FALSE(lines.endpoints.preconnect(EndpointId{9}));  // no place
 }
 
 TEST(OpenAhead, NeverBeyondTheLimitOfAll) {
   Lines lines(2);
-  EXPECT_TRUE(lines.endpoints.open_ahead(EndpointId{1}));
-  EXPECT_TRUE(lines.endpoints.open_ahead(EndpointId{1}));
-  EXPECT_FALSE(lines.endpoints.open_ahead(EndpointId{1}));
+  EXPECT_TRUE(lines.endpoints.preconnect(EndpointId{1}));
+  EXPECT_TRUE(lines.endpoints.preconnect(EndpointId{1}));
+  EXPECT_FALSE(lines.endpoints.preconnect(EndpointId{1}));
   EXPECT_EQ(lines.endpoints.connections(), 2U);
   // A document's call gets its connection all the same.
-  lines.endpoints.locate(EndpointId{2}, {"127.0.0.1", lines.port});
+  lines.endpoints.set_address(EndpointId{2}, {"127.0.0.1", lines.port});
   lines.endpoints.call(EndpointId{2}, {{DocId{1}, 0, 300, "id", "", "body"}});
   lines.run([&] { return lines.told.size() == 2; });
   EXPECT_EQ(std::count(lines.told.begin(), lines.told.end(), Ahead::failed),
@@ -757,36 +759,36 @@
   std::set<EndpointId> may;
   std::vector<std::pair<EndpointId, int>> asked;
   int turns = 0;
-  bool may_open_ahead(EndpointId endpoint, int up) override {
+  bool may_preconnect(EndpointId endpoint, int up) override {
     asked.emplace_back(endpoint, up);
     return may.count(endpoint) > 0;
   }
-  void begin(Millis) override {}
-  void list(const std::vector<EndpointEntry>&, bool) override {}
-  void list_failed(bool, Millis) override {}
-  void retune(const Settings&) override {}
-  DocTypeId number_of(const DocType&) override { return {}; }
-  void take(const Document&) override {}
+  void begin_turn(Millis) override {}
+  void update_endpoints(const std::vector<EndpointEntry>&, bool) override {}
+  void discovery_failed(bool, Millis) override {}
+  void update_settings(const Settings&) override {}
+  DocTypeId type_id(const DocType&) override { return {}; }
+  void accept(const Document&) override {}
   void outcome(const Outcome&) override {}
   void withdraw(DocId) override {}
-  void set_out(EndpointId, bool) override {}
-  void hold(bool) override {}
-  void follows_ended_process() override {}
-  std::string hand_over() override { return {}; }
-  void take_over(const std::string&) override {}
-  void leave(Millis) override {}
-  Decided decide() override { return {}; }
-  bool has_room() const override { return true; }
-  bool knows(DestinationId) const override { return true; }
-  Millis come_back(DestinationId) override { return 0; }
-  void connecting(DocId, int) override {}
-  MayBegin may_begin(DocId, int) override { return MayBegin::now; }
-  Millis pause_after(int) override { return 1; }
-  std::vector<Knowledge> knowledge(bool) override { return {}; }
-  std::vector<Knowledge> to_keep() override { return {}; }
+  void set_offline(EndpointId, bool) override {}
+  void pause_sending(bool) override {}
+  void previous_process_ended() override {}
+  std::string export_state() override { return {}; }
+  void import_state(const std::string&) override {}
+  void begin_shutdown(Millis) override {}
+  Actions decide() override { return {}; }
+  bool has_capacity() const override { return true; }
+  bool has_destination(DestinationId) const override { return true; }
+  Millis retry_after(DestinationId) override { return 0; }
+  void note_connecting(DocId, int) override {}
+  SendPermission may_send(DocId, int) override { return SendPermission::now; }
+  Millis retry_backoff(int) override { return 1; }
+  std::vector<RouteStatus> route_statuses(bool) override { return {}; }
+  std::vector<RouteStatus> route_statuses_to_persist() override { return {}; }
   const Counters& counters() const override { return counters_; }
   Counters counters_;
-  void learn(const Knowledge&) override {}
+  void apply_route_status(const RouteStatus&) override {}
 };
 
 class AllAlive final : public fleet::Membership {
@@ -794,12 +796,12 @@
   explicit AllAlive(const fleet::Roster& roster) {
     for (const auto& member : roster) all_.push_back(member.id);
   }
-  void begin(Millis) override {}
-  void heard(MemberId, const fleet::MembershipMessage&) override {}
-  void linked(MemberId, fleet::Incarnation, bool) override {}
-  Decided decide() override { return {}; }
-  fleet::Condition condition(MemberId) const override { return fleet::Condition::alive; }
-  fleet::Incarnation life(MemberId) const override { return {}; }
+  void begin_turn(Millis) override {}
+  void on_message(MemberId, const fleet::MembershipMessage&) override {}
+  void on_link_change(MemberId, fleet::Incarnation, bool) override {}
+  Actions decide() override { return {}; }
+  fleet::MemberState state(MemberId) const override { return fleet::MemberState::alive; }
+  fleet::Incarnation incarnation(MemberId) const override { return {}; }
   std::vector<MemberId> alive() const override { return all_; }
 
  private:
@@ -819,13 +821,13 @@
   std::unique_ptr<peer::Link> link;
   std::unique_ptr<peer::Part> part;
 
-  Host(Loop& loop, Endpoints& endpoints_of, const peer::FleetConfig& config_of, const char* name)
+  Host(EventLoop& loop, Endpoints& endpoints_of, const peer::FleetConfig& config_of, const char* name)
       : endpoints(endpoints_of), fleet(config_of) {
     char made[] = "/tmp/rockcrank-test-XXXXXX";
     folder = mkdtemp(made);
     store = std::make_unique<Store>(folder, 1 << 20);
-    config.settings.slots = 8, config.idle_life = 10000;
-    fleet.self = MemberId(hash_of(name)), fleet.self_name = name;
+    config.settings.slots = 8, config.idle_timeout = 10000;
+    fleet.self = MemberId(fnv1a_hash(name)), fleet.self_name = name;
     around.emplace(peer::Around{
         loop, decision, *store, endpoints, config, known, [this] { ++decision.turns; }, {}, {}, {}, {}, {}});
     membership = std::make_unique<AllAlive>(fleet.roster);
@@ -842,7 +844,7 @@
   }
   void outcome(std::uint64_t endpoint, Millis took) {
     Outcome outcome;
-    outcome.endpoint = EndpointId{endpoint}, outcome.took = took;
+    outcome.endpoint = EndpointId{endpoint}, outcome.duration = took;
     part->outcome(outcome);
   }
 };
@@ -853,18 +855,18 @@
   config.fleet = "test", config.queue_bytes = config.frame_bytes = 1 << 20;
   std::map<std::string, ReservedPort> ports;
   for (const char* name : {"a", "b"}) {
-    config.roster.push_back({MemberId(hash_of(name)), name, "h0"});
-    config.places[MemberId(hash_of(name))] = {"127.0.0.1", ports[name].port()};
+    config.roster.push_back({MemberId(fnv1a_hash(name)), name, "h0"});
+    config.places[MemberId(fnv1a_hash(name))] = {"127.0.0.1", ports[name].port()};
   }
   std::ranges::sort(config.roster, {}, &fleet::Member::id);
   config.warm = true, config.warm_neighbours = 2, config.warm_connections = 16, config.list_most = 32;
   config.warm_within = 10000;
 
   Endpoints others(lines.loop, {500, 0, 64});
-  others.locate(EndpointId{1}, {"127.0.0.1", lines.port});
-  ASSERT_TRUE(others.open_ahead(EndpointId{1}));  // the lender has a connection: it is not cold
+  others.set_address(EndpointId{1}, {"127.0.0.1", lines.port});
+  ASSERT_TRUE(others.preconnect(EndpointId{1}));  // the lender has a connection: it is not cold
   Host lender(lines.loop, others, config, "a"), newcomer(lines.loop, lines.endpoints, config, "b");
-  lines.endpoints.locate(EndpointId{2}, {"127.0.0.1", lines.port});
+  lines.endpoints.set_address(EndpointId{2}, {"127.0.0.1", lines.port});
   newcomer.known[EndpointId{1}] = newcomer.known[EndpointId{2}] = {};
   newcomer.decision.may = {EndpointId{1}};
   lender.part->start();
@@ -884,7 +886,7 @@
   lines.endpoints.call(EndpointId{1}, {{DocId{1}, 0, 300, "id", "", "body"}});
   EXPECT_NE(newcomer.part->figures().find("used 1, failed 0, unused 0"), std::string::npos);
   EXPECT_EQ(lender.part->figures(), "warm: opened 0, used 0, failed 0, unused 0");
-  EXPECT_THROW(newcomer.part->heard(MemberId(hash_of("a")), "rubbish"), fleet::BadMessage);
+  EXPECT_THROW(newcomer.part->heard(MemberId(fnv1a_hash("a")), "rubbish"), fleet::BadMessage);
 }
 
 }  // namespace
--- a/tests/model/model_test.cpp
+++ b/tests/model/model_test.cpp
@@ -33,7 +33,7 @@
     else peers.erase(peer);
   }
   void heard(fleet::MemberId from, const Payload& payload) override {
-    on_heard(from, std::get<fleet::MembershipMessage>(payload).number);
+    on_heard(from, std::get<fleet::MembershipMessage>(payload).sequence);
   }
   void work(std::uint64_t) override {}
   Millis decide(Outbox& outbox) override {
@@ -41,7 +41,7 @@
       due = now + 20;
       for (auto peer : peers) {
         fleet::MembershipMessage message;
-        message.number = ++sent[peer];
+        message.sequence = ++sent[peer];
         outbox.emplace_back(peer, message);
       }
     }
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -25,12 +25,12 @@
   return std::stoull(name.substr(name.find_first_of("0123456789")));
 }
 
-const std::map<std::string, Ending> endings{{"answered", Ending::answered},
-                                            {"error", Ending::error},
-                                            {"refused", Ending::refused},
-                                            {"turned_away", Ending::refused},
-                                            {"not_connected", Ending::not_connected},
-                                            {"broken", Ending::broken}};
+const std::map<std::string, TransmissionResult> endings{{"answered", TransmissionResult::answered},
+                                                        {"error", TransmissionResult::error},
+                                                        {"refused", TransmissionResult::refused},
+                                                        {"turned_away", TransmissionResult::refused},
+                                                        {"not_connected", TransmissionResult::not_connected},
+                                                        {"broken", TransmissionResult::connection_lost}};
 
 class Play {
  public:
@@ -48,7 +48,7 @@
     if (verb == "relay") relay(words);
     else if (verb == "type") type(words);
     else if (verb == "kind")
-      set_.kinds.push_back({number(words, "apart", 0) > 0, int(number(words, "bundle", 1))});
+      set_.destination_kinds.push_back({number(words, "apart", 0) > 0, int(number(words, "bundle", 1))});
     else if (verb == "expect") expect(plain, words, text);
     else if (verb[0] == '@') at(std::stod(verb.substr(1)), plain, words);
     else FAIL() << "unknown line: " << text;
@@ -75,30 +75,32 @@
 
   void relay(const Words& w) {
     set_.relays = int(number(w, "relays", 1)), set_.slots = int(number(w, "slots", 20));
-    set_.room = int(number(w, "room", 0)), set_.max_transmissions = int(number(w, "tries", 12));
-    set_.connect_within = number(w, "connect", 1500);
-    set_.tick = 5, set_.fall_multiple = number(w, "multiple", 2);
-    set_.start_capacity = number(w, "start", 0.2), set_.warm_within = number(w, "warm", 10000);
-    set_.order_rest = number(w, "rest", 0), set_.value_halves = number(w, "halves", 1) > 0;
-    set_.limits_listed = number(w, "listed", 0) > 0, seed_ = std::uint64_t(number(w, "seed", 7));
-    set_.reject_wait_max = 3000, set_.may_call_off = true, set_.list_on_request = w.count("asks") > 0;
-    set_.list_at_hand = w.count("at_hand") > 0, tells_ = w.count("tells") > 0;
+    set_.max_documents = int(number(w, "room", 0)), set_.max_transmissions = int(number(w, "tries", 12));
+    set_.connect_timeout = number(w, "connect", 1500);
+    set_.tick = 5, set_.overload_multiple = number(w, "multiple", 2);
+    set_.start_capacity = number(w, "start", 0.2), set_.warm_up_time = number(w, "warm", 10000);
+    set_.order_settle_time = number(w, "rest", 0), set_.exponential_value_decay = number(w, "halves", 1) > 0;
+    set_.limits_from_discovery = number(w, "listed", 0) > 0, seed_ = std::uint64_t(number(w, "seed", 7));
+    set_.max_retry_after = 3000, set_.may_cancel = true, set_.discovery_on_request = w.count("asks") > 0;
+    set_.local_discovery_agent = w.count("at_hand") > 0, tells_ = w.count("tells") > 0;
   }
   void type(const Words& w) {
     DocType t;
-    t.agreed_time = number(w, "agreed", 2000), t.lifetime = number(w, "life", 20000);
+    t.target_latency = number(w, "agreed", 2000), t.lifetime = number(w, "life", 20000);
     t.value = number(w, "value", 1);
-    t.late_value = 0.3, t.key_window = number(w, "window", 12000), t.in_order = number(w, "ordered", 0) > 0;
+    t.late_value = 0.3, t.idempotency_window = number(w, "window", 12000),
+    t.in_order = number(w, "ordered", 0) > 0;
     auto repeat = w.count("repeat") ? w.at("repeat") : "replayable";
-    t.repeat = repeat == "binding"    ? Repeat::binding
-               : repeat == "numbered" ? Repeat::numbered
-                                      : Repeat::replayable;
-    t.key_group = w.count("group") && w.at("group") == "hall" ? KeyGroup::hall : KeyGroup::everywhere;
+    t.retry_safety = repeat == "binding"    ? RetrySafety::unsafe
+                     : repeat == "numbered" ? RetrySafety::keyed
+                                            : RetrySafety::idempotent;
+    t.idempotency_scope =
+        w.count("group") && w.at("group") == "hall" ? IdempotencyScope::zone : IdempotencyScope::global;
     set_.doc_types.push_back(t);
   }
 
   void at(Millis time, const std::vector<std::string>& plain, const Words& words) {
-    if (set_.kinds.empty()) set_.kinds.push_back({});
+    if (set_.destination_kinds.empty()) set_.destination_kinds.push_back({});
     if (set_.doc_types.empty()) type({{"repeat", "replayable"}});
     if (set_.tick == 0) relay({});
     if (!decision_) decision_ = Decision::make(set_, seed_);
@@ -113,7 +115,7 @@
       run_until(time);
       now_ = time;
     }
-    if (!open_) decision_->begin(now_), open_ = true;
+    if (!open_) decision_->begin_turn(now_), open_ = true;
     const std::string& verb = plain.at(0);
     auto of = [&](const char* name, double absent = 0) { return number(words, name, absent); };
     if (plain.size() > 2) {
@@ -124,64 +126,67 @@
     if (verb == "out" || verb == "back") {
       EndpointId e{tag(plain.at(1))};
       told_off_[e] = verb == "out" ? now_ + 2000 : 1e18;
-      decision_->set_out(e, verb == "out");
+      decision_->set_offline(e, verb == "out");
     } else if (verb == "retune") {
       auto fresh = set_;
       if (words.count("tries")) fresh.max_transmissions = int(of("tries"));
       for (auto& type : fresh.doc_types)
-        if (words.count("repeat")) type.repeat = Repeat::binding;
-      decision_->retune(fresh);
+        if (words.count("repeat")) type.retry_safety = RetrySafety::unsafe;
+      decision_->update_settings(fresh);
     } else if (verb == "unlisted") {
-      decision_->list_failed(of("turned_away") > 0, of("took"));
+      decision_->discovery_failed(of("turned_away") > 0, of("took"));
     } else if (verb == "list" || verb == "drain" || verb == "gone") {
       EndpointEntry e;
       e.endpoint = EndpointId(tag(plain.at(1))), e.destination = DestinationId(of("for", 1));
-      e.kind = KindId(of("kind")), e.hall = HallId(of("hall")), e.listed_rate = of("rate");
-      e.standing = verb == "list" ? Standing::listed : verb == "drain" ? Standing::draining : Standing::gone;
+      e.kind = DestinationKindId(of("kind")), e.zone = ZoneId(of("hall")), e.listed_rate = of("rate");
+      e.status = verb == "list"    ? EndpointStatus::ready
+                 : verb == "drain" ? EndpointStatus::draining
+                                   : EndpointStatus::gone;
       if (!words.count("yet_out")) told_off_[e.endpoint] = verb == "list" ? 1e18 : now_ + 2000;
-      owner_[e.endpoint] = set_.kinds.at(std::size_t(e.kind)).routes_apart ? 1000 + tag(plain.at(1))
-                                                                           : std::uint64_t(e.destination);
-      decision_->list({e}, false);
+      owner_[e.endpoint] = set_.destination_kinds.at(std::size_t(e.kind)).route_per_endpoint
+                               ? 1000 + tag(plain.at(1))
+                               : std::uint64_t(e.destination);
+      decision_->update_endpoints({e}, false);
     } else if (verb == "take") {
       for (int i = 0; i < int(number(words, "times", 1)); ++i) {
         Known k;
         k.doc.id = DocId(tag(plain.at(1)) + std::uint64_t(i)), k.doc.type = DocTypeId(of("type"));
         k.doc.destination = DestinationId(of("for", 1)), k.doc.key = KeyId(of("key"));
         k.doc.has_key = words.count("key") > 0;
-        k.doc.left = number(words, "left", set_.doc_types.at(std::size_t(k.doc.type)).lifetime);
-        k.expiry = now_ + k.doc.left;
+        k.doc.time_left = number(words, "left", set_.doc_types.at(std::size_t(k.doc.type)).lifetime);
+        k.expiry = now_ + k.doc.time_left;
         k.tries = k.doc.transmissions = int(of("tries"));
         k.may_have_run = k.doc.may_have_run = words.count("ran") > 0;
-        k.doc.risked_ago = of("ran"), k.first_send = now_ - of("ran");
-        if (k.may_have_run && k.doc.has_key) rests_[k.doc.key] = now_ + set_.order_rest;
+        k.doc.may_have_run_ago = of("ran"), k.first_send = now_ - of("ran");
+        if (k.may_have_run && k.doc.has_key) rests_[k.doc.key] = now_ + set_.order_settle_time;
         known_[k.doc.id] = k;
         order_.push_back(k.doc.id);
-        decision_->take(k.doc);
+        decision_->accept(k.doc);
       }
     } else if (verb == "leave") {
-      decision_->leave(of("within"));
+      decision_->begin_shutdown(of("within"));
     } else if (verb == "stall") {
       stalled_until_ = now_ + number(words, "for", 0);
     } else if (verb == "learn") {
-      Knowledge k;
-      k.apart = plain.at(1)[0] == 'e', k.route = tag(plain.at(1)), k.told_left = of("wait");
+      RouteStatus k;
+      k.per_endpoint = plain.at(1)[0] == 'e', k.route = tag(plain.at(1)), k.retry_after_left = of("wait");
       const std::map<std::string, RouteState> states{
-          {"well", RouteState::well}, {"down", RouteState::down}, {"returning", RouteState::returning}};
+          {"well", RouteState::healthy}, {"down", RouteState::down}, {"returning", RouteState::recovering}};
       k.state = states.at(words.count("state") ? words.at("state") : "well"), k.state_age = of("age", 1e9);
-      k.own = of("own") > 0, k.rate_before = of("before"), k.limit = of("limit"),
-      k.left_share = of("share", 1);
+      k.from_this_relay = of("own") > 0, k.rate_before_outage = of("before"), k.rate_limit = of("limit"),
+      k.remaining_share = of("share", 1);
       k.limit_age = of("limit_age");
-      auto owner = k.apart ? 1000 + k.route : k.route;
-      waits_[owner] = std::max(waits_[owner], now_ + k.told_left);
-      decision_->learn(k);
+      auto owner = k.per_endpoint ? 1000 + k.route : k.route;
+      waits_[owner] = std::max(waits_[owner], now_ + k.retry_after_left);
+      decision_->apply_route_status(k);
     } else if (verb == "knowledge") {
-      told(decision_->knowledge(words.count("all") > 0));
+      told(decision_->route_statuses(words.count("all") > 0));
     } else if (verb == "ahead") {
-      bool may = decision_->may_open_ahead(EndpointId(tag(plain.at(1))), int(of("up")));
+      bool may = decision_->may_preconnect(EndpointId(tag(plain.at(1))), int(of("up")));
       ended_[may ? "opened" : "unopened"][DocId(tag(plain.at(1)))] = now_;
     } else if (verb == "restart") {
       decision_ = Decision::make(set_, ++seed_);
-      decision_->begin(now_);
+      decision_->begin_turn(now_);
       pending_.clear(), known_.clear(), rests_.clear(), waits_.clear();
     } else if (verb != "endpoint") {
       FAIL() << "unknown event " << verb;
@@ -193,41 +198,42 @@
     open_ = false;
     auto begun = std::clock();
     auto done = decision_->decide();
-    if (tells_) told(decision_->knowledge(false));
+    if (tells_) told(decision_->route_statuses(false));
     cpu_ms_ += 1e3 * double(std::clock() - begun) / CLOCKS_PER_SEC, ++turns_;
     for (const auto& text : done.log) logs_.push_back(text);
     for (const auto& r : done.rejected) final_answer(r.doc, true);
     for (DocId d : done.abandoned) final_answer(d, false);
-    for (const auto& c : done.called_off)
+    for (const auto& c : done.canceled)
       for (auto at = pending_.begin(); at != pending_.end(); ++at)
         if (at->second.doc == c.doc && at->second.transmission == c.transmission) {
           Outcome o = at->second;
-          o.ending = Ending::called_off, o.over = false, o.wait = 0;
+          o.result = TransmissionResult::canceled, o.completed = false, o.retry_after = 0;
           pending_.erase(at);
           pending_.emplace(now_ + set_.tick, o);
           break;
         }
-    for (auto [e, idle_least] : done.closed)
+    for (auto [e, idle_least] : done.closed_connections)
       if (idle_least == 0) used_.erase(e), ended_["closed"][DocId(std::uint64_t(e))] = now_;
       else ended_["thinned"][DocId(std::uint64_t(e))] = now_;
-    for (EndpointId e : done.forgotten) ended_["forgotten"][DocId(std::uint64_t(e))] = now_;
-    if (done.follow_list > 0) ended_["follows"][DocId(ended_["follows"].size())] = now_;
+    for (EndpointId e : done.forgotten_endpoints) ended_["forgotten"][DocId(std::uint64_t(e))] = now_;
+    if (done.long_poll_wait > 0) ended_["follows"][DocId(ended_["follows"].size())] = now_;
     struck_.clear();
-    for (const auto& t : done.transmitted)
+    for (const auto& t : done.transmissions)
       if (int nth = int(manners_[t.endpoint].nth); nth > 0 && ++docs_[t.endpoint] % nth == 0)
         struck_.insert(t.endpoint);
-    for (const auto& t : done.transmitted) send(t);
+    for (const auto& t : done.transmissions) send(t);
     wake_ = done.wake_in < 0 ? 1e18 : now_ + std::ceil(std::max(done.wake_in, 1.0) / set_.tick) * set_.tick;
   }
 
   // As lines that a scenario can look for, as of the log.
-  void told(const std::vector<Knowledge>& all) {
+  void told(const std::vector<RouteStatus>& all) {
     const char* states[] = {"well", "down", "returning"};
     for (const auto& k : all) {
       char line[160];
       std::snprintf(line, sizeof line, "%s%llu wait %.0f, %s for %.0f, %.3g before, limit %.3g, %.2g left",
-                    k.apart ? "e" : "d", static_cast<unsigned long long>(k.route), k.told_left,
-                    states[int(k.state)], std::min(k.state_age, 1e6), k.rate_before, k.limit, k.left_share);
+                    k.per_endpoint ? "e" : "d", static_cast<unsigned long long>(k.route), k.retry_after_left,
+                    states[int(k.state)], std::min(k.state_age, 1e6), k.rate_before_outage, k.rate_limit,
+                    k.remaining_share);
       knowledge_.push_back({now_, line});
     }
   }
@@ -237,7 +243,7 @@
     EXPECT_FALSE(k.ended) << "rule 1: a second final answer for " << std::uint64_t(id);
     EXPECT_LE(now_, k.expiry) << "rule 1: a late final answer for " << std::uint64_t(id);
     auto& t = set_.doc_types.at(std::size_t(k.doc.type));
-    if (rejected && t.repeat == Repeat::binding) {
+    if (rejected && t.retry_safety == RetrySafety::unsafe) {
       EXPECT_TRUE(!k.may_have_run && k.out == 0) << "rule 2: rejected, yet it may have run";
     }
     k.ended = true;
@@ -251,9 +257,9 @@
     EXPECT_LE(now_, told_off_[t.endpoint]) << "rule 3: sent past the grace of a drain";
     EXPECT_GE(now_, waits_[owner_[t.endpoint]]) << "rule 6: sent inside a told wait at " << now_;
     if (k.may_have_run || k.out > 0) {
-      EXPECT_NE(type.repeat, Repeat::binding) << "rule 2: a binding document went again";
-      if (type.repeat == Repeat::numbered) {
-        EXPECT_LT(now_, k.first_send + type.key_window) << "rule 2: past the window";
+      EXPECT_NE(type.retry_safety, RetrySafety::unsafe) << "rule 2: a binding document went again";
+      if (type.retry_safety == RetrySafety::keyed) {
+        EXPECT_LT(now_, k.first_send + type.idempotency_window) << "rule 2: past the window";
       }
     }
     if (type.in_order && k.doc.has_key)
@@ -278,16 +284,16 @@
     if (double(std::count_if(pending_.begin(), pending_.end(), there)) >= m.queue)
       m.ending = "refused", m.after = 10;
     used_[t.endpoint] = now_;
-    bool late = m.ending == "silent" || (t.time_out > 0 && m.after >= t.time_out);
+    bool late = m.ending == "silent" || (t.timeout > 0 && m.after >= t.timeout);
     Outcome o;
     o.doc = t.doc, o.transmission = k.tries++, o.endpoint = t.endpoint;
-    o.ending = late ? Ending::timed_out : endings.at(m.ending);
-    o.took = late ? (t.time_out > 0 ? t.time_out : k.expiry - now_) : m.after;
-    if (o.ending == Ending::refused) o.wait = m.wait;
-    if (m.ending == "turned_away") o.kept = 0, o.hung_up = true;
+    o.result = late ? TransmissionResult::timed_out : endings.at(m.ending);
+    o.duration = late ? (t.timeout > 0 ? t.timeout : k.expiry - now_) : m.after;
+    if (o.result == TransmissionResult::refused) o.retry_after = m.wait;
+    if (m.ending == "turned_away") o.connection_idle_time = 0, o.connection_closed = true;
     if (m.limit >= 0) o.hints = {true, m.share, m.limit};
     ++k.out;
-    pending_.emplace(now_ + std::ceil(o.took / set_.tick) * set_.tick, o);
+    pending_.emplace(now_ + std::ceil(o.duration / set_.tick) * set_.tick, o);
   }
 
   void run_until(Millis time) {
@@ -296,19 +302,21 @@
       next = std::max(next, stalled_until_);
       if (next >= time) return;
       now_ = std::max(now_, next);
-      decision_->begin(now_), open_ = true;
+      decision_->begin_turn(now_), open_ = true;
       while (!pending_.empty() && pending_.begin()->first <= now_) {
         Outcome o = pending_.begin()->second;
         pending_.erase(pending_.begin());
         Known& k = known_.at(o.doc);
         --k.out;
-        o.over = k.ended || o.ending == Ending::answered;
-        if (o.ending == Ending::answered && !k.ended) ended_["answered"][o.doc] = now_;
-        k.ended = o.over;
-        if (o.ending != Ending::refused && o.ending != Ending::not_connected) k.may_have_run = true;
-        if (o.ending == Ending::timed_out || o.ending == Ending::broken)
-          rests_[k.doc.key] = now_ + set_.order_rest;
-        if (o.wait > 0) waits_[owner_[o.endpoint]] = std::max(waits_[owner_[o.endpoint]], now_ + o.wait);
+        o.completed = k.ended || o.result == TransmissionResult::answered;
+        if (o.result == TransmissionResult::answered && !k.ended) ended_["answered"][o.doc] = now_;
+        k.ended = o.completed;
+        if (o.result != TransmissionResult::refused && o.result != TransmissionResult::not_connected)
+          k.may_have_run = true;
+        if (o.result == TransmissionResult::timed_out || o.result == TransmissionResult::connection_lost)
+          rests_[k.doc.key] = now_ + set_.order_settle_time;
+        if (o.retry_after > 0)
+          waits_[owner_[o.endpoint]] = std::max(waits_[owner_[o.endpoint]], now_ + o.retry_after);
         decision_->outcome(o);
       }
       turn_end();
@@ -389,17 +397,17 @@
   const char* states[] = {"partial", "whole", "malformed"};
   std::ostringstream out;
   if (parser == "resp") {
-    auto command = read_command(text, 4, 64);
+    auto command = parse_command(text, 4, 64);
     out << states[int(command.state)];
-    for (auto word : command.words) out << " [" << word << "]";
+    for (auto word : command.arguments) out << " [" << word << "]";
     if (command.size > 0) out << " " << command.size;
   } else if (parser == "http" || parser == "http-ended") {
-    auto answer = read_answer(text, 64, parser == "http-ended");
+    auto answer = parse_response(text, 64, parser == "http-ended");
     out << states[int(answer.state)] << " " << answer.status;
     if (answer.size > 0)
-      out << " [" << answer.body() << "] " << answer.size << (answer.closes ? " closes" : "");
+      out << " [" << answer.body() << "] " << answer.size << (answer.closes_connection ? " closes" : "");
   } else {
-    out << base64(text);
+    out << base64_encode(text);
   }
   return out.str();
 }
@@ -418,7 +426,7 @@
       std::string got = "none";
       try {
         host.run();
-      } catch (const wire::Fault& fault) {
+      } catch (const wire::ParseError& fault) {
         got = "line " + std::to_string(host.line_number()) + ": " + fault.what();
       }
       EXPECT_EQ(got.substr(0, wanted.size()), wanted) << text;
--- a/tests/stand_in.h
+++ b/tests/stand_in.h
@@ -497,15 +497,16 @@
     if (pid_ != 0) return;
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     Store store(folder_ + "/state", 1000000);
-    auto passed = store.pass();
-    Loop loop;
-    Successor successor(loop, folder_ + "/state");
-    successor.pack = [&](const std::string&) {
-      Baggage baggage;
+    auto passed = store.handover_state();
+    EventLoop loop;
+    HandoverServer successor(loop, folder_ + "/state");
+    successor.make_payload = [&](const std::string&) {
+      HandoverPayload baggage;
       baggage.descriptors = {passed.descriptor};
       Json all{{"form", 1}, {"version", 1}, {"decision", "no state"}};
-      all["store"] = {passed.path, passed.image, 0, passed.last, passed.file_bytes, passed.behind};
-      Json::to_cbor(all, baggage.text);
+      all["store"] = {passed.path,       passed.snapshot,      0, passed.last_doc_number,
+                      passed.file_bytes, passed.rewrite_needed};
+      Json::to_cbor(all, baggage.state);
       return baggage;
     };
     loop.run();
@@ -517,11 +518,11 @@
       for (int fd : std::exchange(posing_, {})) ::close(fd);
       return;
     }
-    Predecessor predecessor(folder_ + "/state");
+    HandoverClient predecessor(folder_ + "/state");
     auto numbering = words.count("numbering")
                          ? words.at("numbering")
-                         : std::to_string(hash_of(Json{settings_["skus"], settings_["zones"]}.dump()));
-    auto got = predecessor.ask(numbering);
+                         : std::to_string(fnv1a_hash(Json{settings_["skus"], settings_["zones"]}.dump()));
+    auto got = predecessor.request(numbering);
     EXPECT_EQ(got.has_value(), !words.count("numbering"));
     if (words.count("silent")) pump(1000, [] { return false; });
     if (got) posing_ = got->descriptors;
@@ -615,7 +616,7 @@
       at += head + size;
       if (inner[0] == 'D') inner.erase(inner.size() - end - added, added), inner[0] = 'T';
       std::uint32_t parts[2] = {static_cast<std::uint32_t>(inner.size()),
-                                static_cast<std::uint32_t>(hash_of(inner) >> 7)};
+                                static_cast<std::uint32_t>(fnv1a_hash(inner) >> 7)};
       aged.append(reinterpret_cast<const char*>(parts), sizeof parts).append(inner);
     }
     std::ofstream(path, std::ios::binary) << aged;
