--- a/src/fleet/errors.h
+++ b/src/fleet/errors.h
@@ -1,6 +1,5 @@
-// Owns the errors of the fleet parts: one small hierarchy. Each says what happened, where, and what an
-// operator can do. docs/errors.md lists all of them; a test holds the two together. Nothing here may decide
-// what follows from an error.
+// Errors of the fleet modules. Each says what happened, where, and what an operator can do. docs/errors.md
+// lists all of them, and a test compares that list with this header.
 #pragma once
 
 #include <stdexcept>
@@ -15,42 +14,42 @@
       : std::runtime_error(std::string(what) + " (" + std::string(where) + "): " + std::string(remedy)) {}
 };
 
-// A fleet file that cannot be used: where is file, line and key.
+// A fleet file that cannot be used. Where: file, line and key.
 class BadFleetFile : public FleetError {
  public:
   using FleetError::FleetError;
 };
-// A message that cannot be read, is too large, or is of another fleet: where is the peer.
+// A message that cannot be parsed, is too large, or belongs to another fleet. Where: the peer.
 class BadMessage : public FleetError {
  public:
   using FleetError::FleetError;
 };
-// The address for other members cannot be had: where is the fleet file's key. It is tried again.
+// The address for other members cannot be bound; this is retried. Where: the key in the fleet file.
 class CannotListen : public FleetError {
  public:
   using FleetError::FleetError;
 };
-// Two processes say they are the same member: where is the member.
+// Two processes claim to be the same member. Where: the member.
 class DuplicateMember : public FleetError {
  public:
   using FleetError::FleetError;
 };
-// A state file that is damaged, cut off, foreign or of the future: where is the file and the place in it.
+// A state file that is damaged, truncated, foreign or dated in the future. Where: the file and the offset.
 class BadStateFile : public FleetError {
  public:
   using FleetError::FleetError;
 };
-// Copies of equal version and other content: where is the entry; both were kept aside.
+// Copies with equal versions but different content; both are kept. Where: the entry.
 class VersionConflict : public FleetError {
  public:
   using FleetError::FleetError;
 };
-// A version of a key too far ahead of the time: where is the stream and the relay it came from.
+// A key's version that is too far in the future. Where: the stream and the relay it came from.
 class VersionAhead : public FleetError {
  public:
   using FleetError::FleetError;
 };
-// What should be kept cannot be: where is the folder or file.
+// Data cannot be written to disk. Where: the folder or file.
 class StorageUnavailable : public FleetError {
  public:
   using FleetError::FleetError;
--- a/src/fleet/ids.h
+++ b/src/fleet/ids.h
@@ -1,6 +1,5 @@
-// Owns the plain types that all parts of the fleet share: who a member is, which of its lives, which of
-// several words on one thing is the newer, and a message on its way. Nothing here decides, and nothing knows
-// a socket, file or clock.
+// Plain types that all fleet modules share: member ids, incarnations, member states, Lamport versions and
+// outgoing messages.
 #pragma once
 
 #include <compare>
@@ -13,31 +12,31 @@
 
 namespace rockcrank::fleet {
 
-// The hash of a member's name (hash_of in settings/settings.h): alike in every process.
+// The FNV-1a hash of the member's name (settings/settings.h), so it is the same in every process.
 enum class MemberId : std::uint64_t {};
 
-// One life of a member. The number grows with each start, also after an emptied folder (it is never below the
-// wall clock in milliseconds at the start, nor at or below the last one in the folder); the nonce, drawn by
-// chance, tells apart two that count alike, as after a restored machine image.
+// One run of a member's process. The number grows with each start, even if the state folder was emptied: it
+// is at least the wall clock in milliseconds at the start, and above the last number in the folder. The
+// random nonce distinguishes two processes with the same number, as after a machine image was restored.
 struct Incarnation {
   std::uint64_t number = 0, nonce = 0;
   auto operator<=>(const Incarnation&) const = default;
   auto fields() { return std::tie(number, nonce); }
 };
 
-// Who may be a member: from the configuration alone.
+// A configured member. The roster comes from the configuration alone.
 struct Member {
   MemberId id{};
   std::string name, zone;
 };
-using Roster = std::vector<Member>;  // ordered by id, this relay's own entry included
+using Roster = std::vector<Member>;  // ordered by id, including this relay
 
-// What is found out of a member. A suspect is treated as alive by whoever could harm by not doing so.
+// A suspect counts as alive wherever treating it as dead could do harm.
 enum class MemberState : std::uint8_t { unknown, alive, suspect, dead };
 
-// Which word on one thing is the newer: a count that every member keeps above all that it has heard (Lamport,
-// "Time, Clocks, and the Ordering of Events in a Distributed System", 1978), so that no machine's clock
-// counts.
+// A Lamport timestamp: each member keeps its counter above every counter that it has seen, so that the order
+// depends on no machine's clock (Lamport, "Time, Clocks, and the Ordering of Events in a Distributed System",
+// 1978).
 struct Version {
   std::uint64_t counter = 0;
   MemberId origin{};
--- a/src/fleet/register_table.cpp
+++ b/src/fleet/register_table.cpp
@@ -14,20 +14,20 @@
 namespace {
 
 // A finished wait is known for so long, so that a slower copy of it does not begin again.
-constexpr Millis wait_rest = 60e3;
+constexpr Millis retry_after_retention = 60e3;
 // Breakers that nobody has evidence of for so long are of no use to anyone.
-constexpr Millis outage_life = 30 * 60e3;
-constexpr Millis limit_life = 60e3;
+constexpr Millis outage_retention = 30 * 60e3;
+constexpr Millis limit_retention = 60e3;
 // An order to put back is known for so long; the order to take out that it went over is older. A member that
 // was away for longer may bring that back, which errs to the careful side and is named in every log.
-constexpr Millis put_back_life = 30 * 24 * 3600e3;
+constexpr Millis online_retention = 30 * 24 * 3600e3;
 constexpr Millis forever = 1e15;
 
-constexpr std::size_t entries_most = 1 << 18;
-constexpr std::size_t aside_most = 64, aside_each = 4, differing_most = 64;
-constexpr int kept_bits = 12;  // of the hash, of the ranges whose sums are kept
+constexpr std::size_t max_entries = 1 << 18;
+constexpr std::size_t max_conflicting_keys = 64, max_records_per_conflict = 4, max_unreported_conflicts = 64;
+constexpr int sum_bits = 12;  // of the hash, of the ranges whose sums are kept
 
-double careful(const RegisterRecord& word) {
+double caution_of(const RegisterRecord& word) {
   switch (word.kind) {
     case RegisterKind::retry_after: return word.duration;
     case RegisterKind::outage:
@@ -41,12 +41,12 @@
 // All of a word but its age. Newer versions first; at an equal count the more careful word; the rest only so
 // that the order is total.
 auto order_of(const RegisterRecord& word) {
-  return std::make_tuple(word.version.counter, careful(word), word.version.origin, word.duration, word.state,
-                         word.rate_before_outage, word.rate_limit, word.remaining_share, word.offline,
-                         word.incarnation);
+  return std::make_tuple(word.version.counter, caution_of(word), word.version.origin, word.duration,
+                         word.state, word.rate_before_outage, word.rate_limit, word.remaining_share,
+                         word.offline, word.incarnation);
 }
 
-std::uint64_t sum_of(const RegisterRecord& word) {
+std::uint64_t record_sum(const RegisterRecord& word) {
   std::string bytes = word.name;
   auto add = [&](const auto& value) { bytes.append(reinterpret_cast<const char*>(&value), sizeof value); };
   // Zero has two forms that are equal.
@@ -80,10 +80,10 @@
 
 Millis retention_of(const RegisterRecord& word) {
   switch (word.kind) {
-    case RegisterKind::retry_after: return word.duration + wait_rest;
-    case RegisterKind::outage: return outage_life;
-    case RegisterKind::rate_limit: return limit_life;
-    case RegisterKind::offline: return word.offline ? forever : put_back_life;
+    case RegisterKind::retry_after: return word.duration + retry_after_retention;
+    case RegisterKind::outage: return outage_retention;
+    case RegisterKind::rate_limit: return limit_retention;
+    case RegisterKind::offline: return word.offline ? forever : online_retention;
   }
   return 0;
 }
@@ -97,28 +97,28 @@
     Entry& held = found->second;
     bool over = supersedes(word, held.record), same = !over && !supersedes(held.record, word);
     // Guards against two processes that count alike, as after a restored machine image: both words are kept.
-    if (!same && word.version == held.record.version) keep_aside(key, over ? held.record : word);
+    if (!same && word.version == held.record.version) keep_conflicting(key, over ? held.record : word);
     if (same && said_at >= held.written_at) return MergeResult::duplicate;
     if (!same && !over) return MergeResult::stale;
-    count(key, held, false);
-    dues_.erase(held.removal);
-    held.record = word, held.written_at = said_at, held.sum = sum_of(word);
-    held.removal = dues_.emplace(said_at + retention_of(word), key);
-    count(key, held, true);
+    update_sums(key, held, false);
+    removals_.erase(held.removal);
+    held.record = word, held.written_at = said_at, held.sum = record_sum(word);
+    held.removal = removals_.emplace(said_at + retention_of(word), key);
+    update_sums(key, held, true);
     return same ? MergeResult::earlier : MergeResult::applied;
   }
-  Entry entry{word, said_at, sum_of(word), dues_.emplace(said_at + retention_of(word), key)};
-  count(key, entry, true);
+  Entry entry{word, said_at, record_sum(word), removals_.emplace(said_at + retention_of(word), key)};
+  update_sums(key, entry, true);
   entries_.emplace(std::move(key), std::move(entry));
   return MergeResult::applied;
 }
 
 void RegisterTable::remove_outdated(Millis now) {
-  while (!dues_.empty() && dues_.begin()->first <= now) {
-    auto found = entries_.find(dues_.begin()->second);
-    count(found->first, found->second, false);
-    aside_.erase(found->first);
-    dues_.erase(dues_.begin());
+  while (!removals_.empty() && removals_.begin()->first <= now) {
+    auto found = entries_.find(removals_.begin()->second);
+    update_sums(found->first, found->second, false);
+    conflicting_.erase(found->first);
+    removals_.erase(removals_.begin());
     entries_.erase(found);
   }
 }
@@ -126,29 +126,30 @@
 // Guards against a peer that makes up subjects without end: what ends soonest goes, but never an order of
 // staff.
 bool RegisterTable::make_room() {
-  if (entries_.size() < entries_most) return true;
-  if (dues_.begin()->second.kind == RegisterKind::offline) return false;
-  remove_outdated(dues_.begin()->first);
+  if (entries_.size() < max_entries) return true;
+  if (removals_.begin()->second.kind == RegisterKind::offline) return false;
+  remove_outdated(removals_.begin()->first);
   return true;
 }
 
-void RegisterTable::keep_aside(const EntryKey& key, const RegisterRecord& word) {
+void RegisterTable::keep_conflicting(const EntryKey& key, const RegisterRecord& word) {
   auto alike = [&](const RegisterRecord& other) {
     return !supersedes(word, other) && !supersedes(other, word);
   };
-  auto found = aside_.find(key);
-  if (found != aside_.end() && std::any_of(found->second.begin(), found->second.end(), alike)) return;
-  if (differing_.size() < differing_most) differing_.push_back({key, word.version});
-  if (found == aside_.end() && aside_.size() >= aside_most) aside_.erase(aside_.begin());
-  auto& words = aside_[key];
-  if (words.size() >= aside_each) words.erase(words.begin());
+  auto found = conflicting_.find(key);
+  if (found != conflicting_.end() && std::any_of(found->second.begin(), found->second.end(), alike)) return;
+  if (conflicts_.size() < max_unreported_conflicts) conflicts_.push_back({key, word.version});
+  if (found == conflicting_.end() && conflicting_.size() >= max_conflicting_keys)
+    conflicting_.erase(conflicting_.begin());
+  auto& words = conflicting_[key];
+  if (words.size() >= max_records_per_conflict) words.erase(words.begin());
   words.push_back(word);
 }
 
-void RegisterTable::count(const EntryKey& key, const Entry& entry, bool in) {
+void RegisterTable::update_sums(const EntryKey& key, const Entry& entry, bool in) {
   auto& sums = sums_[static_cast<int>(key.kind)];
-  if (sums.empty()) sums.resize(std::size_t{1} << kept_bits);
-  auto& sum = sums[first_bits(key.hash, kept_bits)];
+  if (sums.empty()) sums.resize(std::size_t{1} << sum_bits);
+  auto& sum = sums[first_bits(key.hash, sum_bits)];
   if (in) sum.sum += entry.sum, ++sum.entries;
   else sum.sum -= entry.sum, --sum.entries;
 }
@@ -169,20 +170,20 @@
 
 RangeDigest RegisterTable::digest(RegisterKind matter, std::uint64_t prefix, int bits) const {
   RangeDigest range{matter, prefix, static_cast<std::uint8_t>(bits), 0, 0};
-  if (bits > kept_bits) {
+  if (bits > sum_bits) {
     for (auto at = range_begin(range); in_range(range, at); ++at)
       range.sum += at->second.sum, ++range.entry_count;
     return range;
   }
   const auto& sums = sums_[static_cast<int>(matter)];
   if (sums.empty()) return range;
-  int below = kept_bits - bits;
+  int below = sum_bits - bits;
   for (auto at = prefix << below; at < (prefix + 1) << below; ++at)
     range.sum += sums[at].sum, range.entry_count += sums[at].entries;
   return range;
 }
 
-int RegisterTable::split_bits(const RangeDigest& range) { return range.bits < kept_bits ? 4 : 2; }
+int RegisterTable::split_bits(const RangeDigest& range) { return range.bits < sum_bits ? 4 : 2; }
 
 std::uint32_t RegisterTable::half_sum(const RangeDigest& range) {
   return range.entry_count == 0 ? 0 : std::max(1u, static_cast<std::uint32_t>(range.sum));
--- a/src/fleet/register_table.h
+++ b/src/fleet/register_table.h
@@ -1,6 +1,6 @@
-// Owns the entries of the shared state and how two copies of one are settled: which word goes over which, how
-// long a word counts, and the sums by which two members find where they differ. Free of I/O. It must never
-// know who is a member, how a word came, or what follows from it.
+// The table of register entries: how two copies of an entry are merged, how long an entry is kept, and the
+// digest sums by which two members find where they differ. Free of I/O, and independent of membership and of
+// how records are sent.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +12,11 @@
 
 namespace rockcrank::fleet {
 
-std::uint64_t name_hash(const std::string& subject);
+std::uint64_t name_hash(const std::string& name);
 
-// Waits are kept for each life of each origin, as the later end over all of them counts: one life says a wait
-// again only where it ends later, but one that starts anew may know less. Of the rest there is one entry.
+// Retry-After waits have an entry for each incarnation of each origin, and the latest end of all counts: an
+// incarnation publishes a wait again only if it ends later, but a restarted process may know less. All other
+// kinds have one entry for each name, with origin and incarnation left empty.
 struct EntryKey {
   RegisterKind kind{};
   std::uint64_t hash = 0;
@@ -24,19 +25,19 @@
   Incarnation incarnation;
   auto operator<=>(const EntryKey&) const = default;
 };
-EntryKey key_of(const RegisterRecord& word);
-// In what order things are told: waits, outages and endpoints out, limits.
-int priority_of(RegisterKind matter);
+EntryKey key_of(const RegisterRecord& record);
+// The order in which kinds are sent.
+int priority_of(RegisterKind kind);
 constexpr RegisterKind kinds_by_priority[] = {RegisterKind::retry_after, RegisterKind::outage,
                                               RegisterKind::offline, RegisterKind::rate_limit};
-// Which of two words on one entry is kept, whatever their age: alike everywhere, as it is a total order.
-bool supersedes(const RegisterRecord& word, const RegisterRecord& other);
-// How long after it was said a word counts; by then every copy of what it went over is forgotten too.
-Millis retention_of(const RegisterRecord& word);
+// Which of two records of one entry wins, whatever their age. It is a total order, so all members agree.
+bool supersedes(const RegisterRecord& record, const RegisterRecord& other);
+// How long after it was written a record is kept; by then all copies of records it superseded are gone too.
+Millis retention_of(const RegisterRecord& record);
 
 struct Entry {
-  RegisterRecord record;  // its age is not brought up to date here
-  Millis written_at = 0;  // on this member's clock, as the earliest copy heard has it
+  RegisterRecord record;  // its age is not updated
+  Millis written_at = 0;  // on this member's clock, by the earliest copy received
   std::uint64_t sum = 0;
   std::multimap<Millis, EntryKey>::iterator removal;
 };
@@ -44,11 +45,11 @@
 class RegisterTable {
  public:
   enum class MergeResult {
-    applied,  // it is kept now
-    earlier,  // the same word, said earlier than was thought: a wait ends sooner
+    applied,  // the record is new and is kept
+    earlier,  // the same record, written earlier than assumed: a wait ends sooner
     duplicate,
     stale,
-    outdated,  // too old to count
+    outdated,  // past its retention
     full
   };
   struct Conflict {
@@ -57,38 +58,38 @@
   };
   using Entries = std::map<EntryKey, Entry>;
 
-  MergeResult merge(const RegisterRecord& word, Millis said_at, Millis now);
-  void remove_outdated(Millis now);  // what no longer counts
+  MergeResult merge(const RegisterRecord& record, Millis written_at, Millis now);
+  void remove_outdated(Millis now);
 
   const Entries& entries() const { return entries_; }
   const Entry* find(const EntryKey& key) const;
-  Millis retry_after_end(const std::string& subject) const;  // the latest of all origins; below 0: none
-  RangeDigest digest(RegisterKind matter, std::uint64_t prefix, int bits) const;
-  // How many bits further a range is split: by 16 where the sums are kept, then by 4, as an entry that
-  // differs costs the digests beside it at every step.
+  Millis retry_after_end(const std::string& name) const;  // over all origins; negative: none
+  RangeDigest digest(RegisterKind kind, std::uint64_t prefix, int bits) const;
   static std::uint32_t half_sum(const RangeDigest& range);
+  // By how many more bits a range is split: into 16 parts where sums are precomputed, then into 4, since each
+  // step also sends the digests beside the entry that differs.
   static int split_bits(const RangeDigest& range);
   RangeSplit split(const RangeDigest& range) const;
   std::vector<NameDigest> names(const RangeDigest& range) const;
   Entries::const_iterator range_begin(const RangeDigest& range) const;
   bool in_range(const RangeDigest& range, Entries::const_iterator at) const;
 
-  std::vector<Conflict> take_conflicts() { return std::exchange(differing_, {}); }
-  const std::map<EntryKey, std::vector<RegisterRecord>>& conflicting_records() const { return aside_; }
+  std::vector<Conflict> take_conflicts() { return std::exchange(conflicts_, {}); }
+  const std::map<EntryKey, std::vector<RegisterRecord>>& conflicting_records() const { return conflicting_; }
 
  private:
   struct Sum {
     std::uint64_t sum = 0, entries = 0;
   };
-  void count(const EntryKey& key, const Entry& entry, bool in);
-  void keep_aside(const EntryKey& key, const RegisterRecord& word);
+  void update_sums(const EntryKey& key, const Entry& entry, bool added);
+  void keep_conflicting(const EntryKey& key, const RegisterRecord& record);
   bool make_room();
 
   Entries entries_;
-  std::multimap<Millis, EntryKey> dues_;
-  std::vector<Sum> sums_[4];  // by matter and the first bits of the hash
-  std::map<EntryKey, std::vector<RegisterRecord>> aside_;
-  std::vector<Conflict> differing_;
+  std::multimap<Millis, EntryKey> removals_;
+  std::vector<Sum> sums_[4];  // by kind and the first bits of the hash
+  std::map<EntryKey, std::vector<RegisterRecord>> conflicting_;
+  std::vector<Conflict> conflicts_;
 };
 
 }  // namespace rockcrank::fleet
--- a/src/fleet/route_gossip.cpp
+++ b/src/fleet/route_gossip.cpp
@@ -13,44 +13,44 @@
 namespace {
 
 constexpr Millis never = 1e18;
-constexpr Millis spread = 40;          // within which the first of many speaks
-constexpr Millis same_for = 2000;      // what was said so lately is not said again
-constexpr Millis wait_least = 250;     // a wait that is over sooner is not worth a note
-constexpr Millis wait_apart = 60;      // two ends so close are one
-constexpr Millis limit_apart = 1000;   // between two words on one limit
-constexpr double limit_change = 0.15;  // a smaller change is not worth one
-constexpr int a_second = 4;            // datagrams of one relay
-
-class Speaker final : public RouteGossip {
+constexpr Millis max_send_delay = 40;         // within which the first of many speaks
+constexpr Millis repeat_interval = 2000;      // what was said so lately is not said again
+constexpr Millis min_retry_after = 250;       // a wait that is over sooner is not worth a note
+constexpr Millis retry_after_tolerance = 60;  // two ends so close are one
+constexpr Millis min_limit_interval = 1000;   // between two words on one limit
+constexpr double min_limit_change = 0.15;     // a smaller change is not worth one
+constexpr int datagrams_per_second = 4;       // datagrams of one relay
+
+class DatagramGossip final : public RouteGossip {
  public:
-  explicit Speaker(std::uint64_t seed)
-      : chance_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {}
+  explicit DatagramGossip(std::uint64_t seed)
+      : random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {}
 
   void begin_turn(Millis now) override {
     now_ = now;
-    std::erase_if(last_, [&](const auto& one) { return now_ > one.second.at + 10 * same_for; });
+    std::erase_if(recent_, [&](const auto& one) { return now_ > one.second.at + 10 * repeat_interval; });
   }
 
   void publish(const RouteStatus& own) override {
     RouteUpdate note{{}, own.per_endpoint, own.route, 0, 0, 0};
-    if (own.retry_after_left >= wait_least) {
-      note.kind = UpdateKind::retry_after, note.duration_ms = whole(own.retry_after_left);
-      want(note);
+    if (own.retry_after_left >= min_retry_after) {
+      note.kind = UpdateKind::retry_after, note.duration_ms = to_uint32(own.retry_after_left);
+      enqueue(note);
     }
     note.kind = own.state == RouteState::down         ? UpdateKind::down
                 : own.state == RouteState::recovering ? UpdateKind::recovering
                                                       : UpdateKind::healthy;
-    note.duration_ms = whole(own.state_age), note.rate_millis = whole(1000 * own.rate_before_outage);
+    note.duration_ms = to_uint32(own.state_age), note.rate_millis = to_uint32(1000 * own.rate_before_outage);
     // That all is well is news only where something else was said.
-    auto before = last_.find({own.per_endpoint, own.route, 0});
+    auto before = recent_.find({own.per_endpoint, own.route, 0});
     bool news = note.kind != UpdateKind::healthy ||
-                (before != last_.end() && before->second.note.kind != UpdateKind::healthy);
-    if (news) want(note);
+                (before != recent_.end() && before->second.update.kind != UpdateKind::healthy);
+    if (news) enqueue(note);
     if (own.rate_limit > 0) {
-      note.kind = UpdateKind::rate_limit, note.duration_ms = whole(own.limit_age),
-      note.rate_millis = whole(1000 * own.rate_limit);
+      note.kind = UpdateKind::rate_limit, note.duration_ms = to_uint32(own.limit_age),
+      note.rate_millis = to_uint32(1000 * own.rate_limit);
       note.share_percent = static_cast<std::uint8_t>(std::clamp(100 * own.remaining_share, 0.0, 100.0));
-      want(note);
+      enqueue(note);
     }
   }
 
@@ -68,42 +68,44 @@
                       : note.kind == UpdateKind::recovering ? RouteState::recovering
                                                             : RouteState::healthy,
         known.state_age = note.duration_ms, known.rate_before_outage = note.rate_millis / 1000.0;
-      learned_.push_back(known);
-      last_[key_of(note)] = {note, now_};
+      reports_.push_back(known);
+      recent_[key_of(note)] = {note, now_};
     }
   }
 
-  std::vector<RouteStatus> take_reports() override { return std::exchange(learned_, {}); }
+  std::vector<RouteStatus> take_reports() override { return std::exchange(reports_, {}); }
 
   Actions decide() override {
-    for (auto& [key, wanted] : wanted_)
-      if (now_ >= wanted.due && !is_news(wanted.note)) wanted.due = never;
-    std::erase_if(wanted_, [](const auto& one) { return one.second.due >= never; });
+    for (auto& [key, wanted] : queue_)
+      if (now_ >= wanted.send_at && !is_news(wanted.update)) wanted.send_at = never;
+    std::erase_if(queue_, [](const auto& one) { return one.second.send_at >= never; });
     RouteDatagram datagram;
     auto out = [&] {
       if (datagram.empty()) return;
-      done_.datagrams.push_back(std::exchange(datagram, {}));
-      allowed_ -= 1;
+      actions_.datagrams.push_back(std::exchange(datagram, {}));
+      tokens_ -= 1;
     };
-    allowed_ = std::min<double>(a_second, allowed_ + a_second * (now_ - counted_at_) / 1000);
-    counted_at_ = now_;
-    bool due = std::ranges::any_of(wanted_, [&](const auto& one) { return now_ >= one.second.due; });
+    tokens_ = std::min<double>(datagrams_per_second,
+                               tokens_ + datagrams_per_second * (now_ - tokens_updated_at_) / 1000);
+    tokens_updated_at_ = now_;
+    bool due = std::ranges::any_of(queue_, [&](const auto& one) { return now_ >= one.second.send_at; });
     // With one that is due goes all that waits.
-    for (auto at = wanted_.begin(); due && at != wanted_.end() && allowed_ >= 1;) {
+    for (auto at = queue_.begin(); due && at != queue_.end() && tokens_ >= 1;) {
       auto& [key, wanted] = *at;
-      if (is_news(wanted.note)) {
-        RouteUpdate note = aged(wanted);
-        datagram.push_back(note), last_[key] = {note, now_};
+      if (is_news(wanted.update)) {
+        RouteUpdate note = with_current_age(wanted);
+        datagram.push_back(note), recent_[key] = {note, now_};
       }
-      at = wanted_.erase(at);
+      at = queue_.erase(at);
       if (datagram.size() >= max_updates_per_datagram) out();
     }
     out();
     Millis next = never;
-    for (const auto& [key, wanted] : wanted_) next = std::min(next, std::max(wanted.due, now_));
-    if (next < never && allowed_ < 1) next = std::max(next, now_ + 1000 * (1 - allowed_) / a_second);
-    done_.wake_in = next >= never ? -1 : next - now_;
-    return std::exchange(done_, {});
+    for (const auto& [key, wanted] : queue_) next = std::min(next, std::max(wanted.send_at, now_));
+    if (next < never && tokens_ < 1)
+      next = std::max(next, now_ + 1000 * (1 - tokens_) / datagrams_per_second);
+    actions_.wake_in = next >= never ? -1 : next - now_;
+    return std::exchange(actions_, {});
   }
 
  private:
@@ -115,28 +117,28 @@
             : note.kind == UpdateKind::rate_limit ? 2
                                                   : 0};
   }
-  struct Wanted {
-    RouteUpdate note;
-    Millis since = 0, due = 0;
+  struct QueuedUpdate {
+    RouteUpdate update;
+    Millis queued_at = 0, send_at = 0;
   };
-  struct Last {
-    RouteUpdate note;
+  struct SentUpdate {
+    RouteUpdate update;
     Millis at = 0;
   };
-  static std::uint32_t whole(double value) {
+  static std::uint32_t to_uint32(double value) {
     return static_cast<std::uint32_t>(std::clamp(std::round(value), 0.0, 4e9));
   }
 
-  void want(const RouteUpdate& note) {
+  void enqueue(const RouteUpdate& note) {
     auto key = key_of(note);
-    auto [at, fresh] = wanted_.try_emplace(key, Wanted{note, now_, now_ + drawn()});
-    if (!fresh) at->second.note = note, at->second.since = now_;
+    auto [at, fresh] = queue_.try_emplace(key, QueuedUpdate{note, now_, now_ + draw_delay()});
+    if (!fresh) at->second.update = note, at->second.queued_at = now_;
   }
-  Millis drawn() { return std::uniform_real_distribution<double>(0, spread)(chance_); }
+  Millis draw_delay() { return std::uniform_real_distribution<double>(0, max_send_delay)(random_); }
 
-  RouteUpdate aged(const Wanted& wanted) const {
-    RouteUpdate note = wanted.note;
-    auto gone = whole(now_ - wanted.since);
+  RouteUpdate with_current_age(const QueuedUpdate& wanted) const {
+    RouteUpdate note = wanted.update;
+    auto gone = to_uint32(now_ - wanted.queued_at);
     note.duration_ms = note.kind == UpdateKind::retry_after
                            ? note.duration_ms - std::min(note.duration_ms, gone)
                            : note.duration_ms + gone;
@@ -145,31 +147,34 @@
 
   // Whether nobody, this relay included, has said as much lately.
   bool is_news(const RouteUpdate& note) const {
-    auto found = last_.find(key_of(note));
-    if (found == last_.end()) return true;
+    auto found = recent_.find(key_of(note));
+    if (found == recent_.end()) return true;
     const auto& [said, at] = found->second;
     Millis since = now_ - at;
     if (note.kind == UpdateKind::retry_after)
-      return at + said.duration_ms + wait_apart < now_ + note.duration_ms;
+      return at + said.duration_ms + retry_after_tolerance < now_ + note.duration_ms;
     if (note.kind == UpdateKind::rate_limit) {
-      bool other = std::abs(1.0 * note.rate_millis - said.rate_millis) > limit_change * said.rate_millis ||
-                   note.share_percent < 10;
-      return since > limit_apart && (other || since > same_for);
+      bool other =
+          std::abs(1.0 * note.rate_millis - said.rate_millis) > min_limit_change * said.rate_millis ||
+          note.share_percent < 10;
+      return since > min_limit_interval && (other || since > repeat_interval);
     }
-    return note.kind != said.kind || since > same_for;
+    return note.kind != said.kind || since > repeat_interval;
   }
 
-  std::minstd_rand chance_;
-  Millis now_ = 0, counted_at_ = 0;
-  double allowed_ = a_second;
-  std::map<Key, Wanted> wanted_;
-  std::map<Key, Last> last_;
-  std::vector<RouteStatus> learned_;
-  Actions done_;
+  std::minstd_rand random_;
+  Millis now_ = 0, tokens_updated_at_ = 0;
+  double tokens_ = datagrams_per_second;
+  std::map<Key, QueuedUpdate> queue_;
+  std::map<Key, SentUpdate> recent_;
+  std::vector<RouteStatus> reports_;
+  Actions actions_;
 };
 
 }  // namespace
 
-std::unique_ptr<RouteGossip> RouteGossip::make(std::uint64_t seed) { return std::make_unique<Speaker>(seed); }
+std::unique_ptr<RouteGossip> RouteGossip::make(std::uint64_t seed) {
+  return std::make_unique<DatagramGossip>(seed);
+}
 
 }  // namespace rockcrank::fleet
--- a/src/fleet/rules.h
+++ b/src/fleet/rules.h
@@ -1,10 +1,9 @@
-// Owns the form of a rule, a condition and an effect, and the two ways in which the fleet's modules go
-// through an ordered list of them until none fires. It must never know what a rule is about.
+// Condition-action rules, and two ways to run an ordered list of them until none fires.
 #pragma once
 
 namespace rockcrank::fleet {
 
-// Of a module, on a subject of its own or on none.
+// A rule of a module; its condition and action take the subjects, if any.
 template <typename Module, typename... Subject>
 struct Rule {
   const char* name;
@@ -12,7 +11,7 @@
   void (Module::*then)(Subject&...);
 };
 
-// From the first rule anew after each that fired: an earlier rule goes before any later one.
+// Starts again from the first rule after each one that fired, so an earlier rule takes precedence.
 template <typename Module, typename Rules>
 void run_by_priority(Module& module, const Rules& rules) {
   for (bool fired = true; fired;) {
@@ -25,7 +24,7 @@
   }
 }
 
-// Through all rules, and again while one of them fired.
+// Runs whole passes over the rules until none fires in a pass.
 template <typename Module, typename Rules, typename... Subject>
 void run_until_stable(Module& module, const Rules& rules, Subject&... subject) {
   for (bool fired = true; fired;) {
