--- a/src/fleet/route_gossip.cpp
+++ b/src/fleet/route_gossip.cpp
@@ -1,5 +1,5 @@
-// All decisions on short notes; notes.h is the interface. News waits for a moment drawn by chance, so that of
-// the many relays that learn the same at once one speaks and the others, having heard it, do not.
+// See route_gossip.h for the interface. Each update is sent after a random delay, so that of many relays that
+// learn the same at once one sends it, and the others, having received it, do not.
 #include "fleet/route_gossip.h"
 
 #include <algorithm>
@@ -13,13 +13,13 @@
 namespace {
 
 constexpr Millis never = 1e18;
-constexpr Millis max_send_delay = 40;         // within which the first of many speaks
-constexpr Millis repeat_interval = 2000;      // what was said so lately is not said again
-constexpr Millis min_retry_after = 250;       // a wait that is over sooner is not worth a note
-constexpr Millis retry_after_tolerance = 60;  // two ends so close are one
-constexpr Millis min_limit_interval = 1000;   // between two words on one limit
-constexpr double min_limit_change = 0.15;     // a smaller change is not worth one
-constexpr int datagrams_per_second = 4;       // datagrams of one relay
+constexpr Millis max_send_delay = 40;
+constexpr Millis repeat_interval = 2000;      // before the same update is sent again
+constexpr Millis min_retry_after = 250;       // shorter waits are not worth an update
+constexpr Millis retry_after_tolerance = 60;  // ends this close count as equal
+constexpr Millis min_limit_interval = 1000;   // between two updates of one limit
+constexpr double min_limit_change = 0.15;     // smaller changes are not worth an update
+constexpr int datagrams_per_second = 4;       // of one relay
 
 class DatagramGossip final : public RouteGossip {
  public:
@@ -31,56 +31,57 @@
     std::erase_if(recent_, [&](const auto& one) { return now_ > one.second.at + 10 * repeat_interval; });
   }
 
-  void publish(const RouteStatus& own) override {
-    RouteUpdate note{{}, own.per_endpoint, own.route, 0, 0, 0};
-    if (own.retry_after_left >= min_retry_after) {
-      note.kind = UpdateKind::retry_after, note.duration_ms = to_uint32(own.retry_after_left);
-      enqueue(note);
+  void publish(const RouteStatus& status) override {
+    RouteUpdate update{{}, status.per_endpoint, status.route, 0, 0, 0};
+    if (status.retry_after_left >= min_retry_after) {
+      update.kind = UpdateKind::retry_after, update.duration_ms = to_uint32(status.retry_after_left);
+      enqueue(update);
     }
-    note.kind = own.state == RouteState::down         ? UpdateKind::down
-                : own.state == RouteState::recovering ? UpdateKind::recovering
-                                                      : UpdateKind::healthy;
-    note.duration_ms = to_uint32(own.state_age), note.rate_millis = to_uint32(1000 * own.rate_before_outage);
-    // That all is well is news only where something else was said.
-    auto before = recent_.find({own.per_endpoint, own.route, 0});
-    bool news = note.kind != UpdateKind::healthy ||
-                (before != recent_.end() && before->second.update.kind != UpdateKind::healthy);
-    if (news) enqueue(note);
-    if (own.rate_limit > 0) {
-      note.kind = UpdateKind::rate_limit, note.duration_ms = to_uint32(own.limit_age),
-      note.rate_millis = to_uint32(1000 * own.rate_limit);
-      note.share_percent = static_cast<std::uint8_t>(std::clamp(100 * own.remaining_share, 0.0, 100.0));
-      enqueue(note);
+    update.kind = status.state == RouteState::down         ? UpdateKind::down
+                  : status.state == RouteState::recovering ? UpdateKind::recovering
+                                                           : UpdateKind::healthy;
+    update.duration_ms = to_uint32(status.state_age),
+    update.rate_millis = to_uint32(1000 * status.rate_before_outage);
+    // That a route is healthy is only news after another state was sent or received.
+    auto previous = recent_.find({status.per_endpoint, status.route, 0});
+    bool is_new = update.kind != UpdateKind::healthy ||
+                  (previous != recent_.end() && previous->second.update.kind != UpdateKind::healthy);
+    if (is_new) enqueue(update);
+    if (status.rate_limit > 0) {
+      update.kind = UpdateKind::rate_limit, update.duration_ms = to_uint32(status.limit_age),
+      update.rate_millis = to_uint32(1000 * status.rate_limit);
+      update.share_percent = static_cast<std::uint8_t>(std::clamp(100 * status.remaining_share, 0.0, 100.0));
+      enqueue(update);
     }
   }
 
   void on_datagram(const RouteDatagram& datagram) override {
-    for (const auto& note : datagram) {
-      if (note.kind > UpdateKind::rate_limit) continue;  // of a later version
-      RouteStatus known;
-      known.per_endpoint = note.per_endpoint, known.route = note.route;
-      if (note.kind == UpdateKind::retry_after) known.retry_after_left = note.duration_ms;
-      else if (note.kind == UpdateKind::rate_limit)
-        known.rate_limit = note.rate_millis / 1000.0, known.remaining_share = note.share_percent / 100.0,
-        known.limit_age = note.duration_ms;
+    for (const auto& update : datagram) {
+      if (update.kind > UpdateKind::rate_limit) continue;  // from a newer version
+      RouteStatus status;
+      status.per_endpoint = update.per_endpoint, status.route = update.route;
+      if (update.kind == UpdateKind::retry_after) status.retry_after_left = update.duration_ms;
+      else if (update.kind == UpdateKind::rate_limit)
+        status.rate_limit = update.rate_millis / 1000.0,
+        status.remaining_share = update.share_percent / 100.0, status.limit_age = update.duration_ms;
       else
-        known.state = note.kind == UpdateKind::down         ? RouteState::down
-                      : note.kind == UpdateKind::recovering ? RouteState::recovering
-                                                            : RouteState::healthy,
-        known.state_age = note.duration_ms, known.rate_before_outage = note.rate_millis / 1000.0;
-      reports_.push_back(known);
-      recent_[key_of(note)] = {note, now_};
+        status.state = update.kind == UpdateKind::down         ? RouteState::down
+                       : update.kind == UpdateKind::recovering ? RouteState::recovering
+                                                               : RouteState::healthy,
+        status.state_age = update.duration_ms, status.rate_before_outage = update.rate_millis / 1000.0;
+      reports_.push_back(status);
+      recent_[key_of(update)] = {update, now_};
     }
   }
 
   std::vector<RouteStatus> take_reports() override { return std::exchange(reports_, {}); }
 
   Actions decide() override {
-    for (auto& [key, wanted] : queue_)
-      if (now_ >= wanted.send_at && !is_news(wanted.update)) wanted.send_at = never;
+    for (auto& [key, queued] : queue_)
+      if (now_ >= queued.send_at && !is_news(queued.update)) queued.send_at = never;
     std::erase_if(queue_, [](const auto& one) { return one.second.send_at >= never; });
     RouteDatagram datagram;
-    auto out = [&] {
+    auto flush = [&] {
       if (datagram.empty()) return;
       actions_.datagrams.push_back(std::exchange(datagram, {}));
       tokens_ -= 1;
@@ -89,39 +90,39 @@
                                tokens_ + datagrams_per_second * (now_ - tokens_updated_at_) / 1000);
     tokens_updated_at_ = now_;
     bool due = std::ranges::any_of(queue_, [&](const auto& one) { return now_ >= one.second.send_at; });
-    // With one that is due goes all that waits.
+    // When one update is due, all queued ones are sent with it.
     for (auto at = queue_.begin(); due && at != queue_.end() && tokens_ >= 1;) {
-      auto& [key, wanted] = *at;
-      if (is_news(wanted.update)) {
-        RouteUpdate note = with_current_age(wanted);
-        datagram.push_back(note), recent_[key] = {note, now_};
+      auto& [key, queued] = *at;
+      if (is_news(queued.update)) {
+        RouteUpdate update = with_current_age(queued);
+        datagram.push_back(update), recent_[key] = {update, now_};
       }
       at = queue_.erase(at);
-      if (datagram.size() >= max_updates_per_datagram) out();
+      if (datagram.size() >= max_updates_per_datagram) flush();
     }
-    out();
-    Millis next = never;
-    for (const auto& [key, wanted] : queue_) next = std::min(next, std::max(wanted.send_at, now_));
-    if (next < never && tokens_ < 1)
-      next = std::max(next, now_ + 1000 * (1 - tokens_) / datagrams_per_second);
-    actions_.wake_in = next >= never ? -1 : next - now_;
+    flush();
+    Millis next_send = never;
+    for (const auto& [key, queued] : queue_) next_send = std::min(next_send, std::max(queued.send_at, now_));
+    if (next_send < never && tokens_ < 1)
+      next_send = std::max(next_send, now_ + 1000 * (1 - tokens_) / datagrams_per_second);
+    actions_.wake_in = next_send >= never ? -1 : next_send - now_;
     return std::exchange(actions_, {});
   }
 
  private:
-  // Of a route: waits, its state, its limit.
+  // per_endpoint, route, and 0: state, 1: wait, 2: rate limit.
   using Key = std::tuple<bool, std::uint64_t, int>;
-  static Key key_of(const RouteUpdate& note) {
-    return {note.per_endpoint, note.route,
-            note.kind == UpdateKind::retry_after  ? 1
-            : note.kind == UpdateKind::rate_limit ? 2
-                                                  : 0};
+  static Key key_of(const RouteUpdate& update) {
+    return {update.per_endpoint, update.route,
+            update.kind == UpdateKind::retry_after  ? 1
+            : update.kind == UpdateKind::rate_limit ? 2
+                                                    : 0};
   }
   struct QueuedUpdate {
     RouteUpdate update;
     Millis queued_at = 0, send_at = 0;
   };
-  struct SentUpdate {
+  struct RecentUpdate {
     RouteUpdate update;
     Millis at = 0;
   };
@@ -129,44 +130,44 @@
     return static_cast<std::uint32_t>(std::clamp(std::round(value), 0.0, 4e9));
   }
 
-  void enqueue(const RouteUpdate& note) {
-    auto key = key_of(note);
-    auto [at, fresh] = queue_.try_emplace(key, QueuedUpdate{note, now_, now_ + draw_delay()});
-    if (!fresh) at->second.update = note, at->second.queued_at = now_;
+  void enqueue(const RouteUpdate& update) {
+    auto key = key_of(update);
+    auto [at, inserted] = queue_.try_emplace(key, QueuedUpdate{update, now_, now_ + draw_delay()});
+    if (!inserted) at->second.update = update, at->second.queued_at = now_;
   }
   Millis draw_delay() { return std::uniform_real_distribution<double>(0, max_send_delay)(random_); }
 
-  RouteUpdate with_current_age(const QueuedUpdate& wanted) const {
-    RouteUpdate note = wanted.update;
-    auto gone = to_uint32(now_ - wanted.queued_at);
-    note.duration_ms = note.kind == UpdateKind::retry_after
-                           ? note.duration_ms - std::min(note.duration_ms, gone)
-                           : note.duration_ms + gone;
-    return note;
+  RouteUpdate with_current_age(const QueuedUpdate& queued) const {
+    RouteUpdate update = queued.update;
+    auto waited = to_uint32(now_ - queued.queued_at);
+    update.duration_ms = update.kind == UpdateKind::retry_after
+                             ? update.duration_ms - std::min(update.duration_ms, waited)
+                             : update.duration_ms + waited;
+    return update;
   }
 
-  // Whether nobody, this relay included, has said as much lately.
-  bool is_news(const RouteUpdate& note) const {
-    auto found = recent_.find(key_of(note));
+  // Whether no relay, including this one, has sent the same recently.
+  bool is_news(const RouteUpdate& update) const {
+    auto found = recent_.find(key_of(update));
     if (found == recent_.end()) return true;
-    const auto& [said, at] = found->second;
+    const auto& [sent, at] = found->second;
     Millis since = now_ - at;
-    if (note.kind == UpdateKind::retry_after)
-      return at + said.duration_ms + retry_after_tolerance < now_ + note.duration_ms;
-    if (note.kind == UpdateKind::rate_limit) {
-      bool other =
-          std::abs(1.0 * note.rate_millis - said.rate_millis) > min_limit_change * said.rate_millis ||
-          note.share_percent < 10;
-      return since > min_limit_interval && (other || since > repeat_interval);
+    if (update.kind == UpdateKind::retry_after)
+      return at + sent.duration_ms + retry_after_tolerance < now_ + update.duration_ms;
+    if (update.kind == UpdateKind::rate_limit) {
+      bool changed =
+          std::abs(1.0 * update.rate_millis - sent.rate_millis) > min_limit_change * sent.rate_millis ||
+          update.share_percent < 10;
+      return since > min_limit_interval && (changed || since > repeat_interval);
     }
-    return note.kind != said.kind || since > repeat_interval;
+    return update.kind != sent.kind || since > repeat_interval;
   }
 
   std::minstd_rand random_;
   Millis now_ = 0, tokens_updated_at_ = 0;
   double tokens_ = datagrams_per_second;
   std::map<Key, QueuedUpdate> queue_;
-  std::map<Key, SentUpdate> recent_;
+  std::map<Key, RecentUpdate> recent_;
   std::vector<RouteStatus> reports_;
   Actions actions_;
 };
