--- a/tests/fleet/errors_test.cpp
+++ b/tests/fleet/errors_test.cpp
@@ -1,5 +1,5 @@
-// Holds docs/errors.md and src/fleet/errors.h together: every error is listed with what, where and remedy,
-// and none is listed that is not there. It owns no text itself.
+// Compares docs/errors.md with src/fleet/errors.h: the page lists every error with what, where and remedy,
+// and no error that does not exist.
 #include "fleet/errors.h"
 
 #include <gtest/gtest.h>
@@ -40,7 +40,7 @@
   }
 }
 
-TEST(Errors, EachSaysWhatWhereAndWhatToDo) {
+TEST(Errors, MessageHasWhatWhereAndRemedy) {
   BadStateFile error("the file is cut off", "state.log, byte 40", "look at the disk");
   EXPECT_STREQ(error.what(), "the file is cut off (state.log, byte 40): look at the disk");
   EXPECT_TRUE(dynamic_cast<const FleetError*>(static_cast<std::runtime_error*>(&error)));
--- a/tests/fleet/registers_test.cpp
+++ b/tests/fleet/registers_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the shared state: the rules of its table by property, and members that spread and catch up over
-// links with delays, losses and cuts on a virtual clock. Figures are printed as they are measured.
+// Tests of the replicated registers: properties of the merge rules, and members that spread updates and catch
+// up over links with delays, losses and cuts on a virtual clock. Prints the figures that it measures.
 
 #include "fleet/registers.h"
 
@@ -21,33 +21,34 @@
 namespace rockcrank::fleet {
 namespace {
 
-using Merged = RegisterTable::MergeResult;
+using MergeResult = RegisterTable::MergeResult;
 
-// From so few values that equal versions, ties and equal words come often.
-RegisterRecord drawn_word() {
+// Few distinct values, so that equal versions, ties and equal records are frequent.
+RegisterRecord random_record() {
   auto below = [](int most) { return *rc::gen::inRange(0, most); };
-  RegisterRecord word;
-  word.kind = RegisterKind(below(4));
-  word.name = word.kind == RegisterKind::offline ? "e" + std::to_string(below(2))
-                                                 : "d000000000000000" + std::to_string(below(2));
-  word.version = {std::uint64_t(below(4)), MemberId(below(3))};
-  word.incarnation = {std::uint64_t(below(2)), 0};
-  if (word.kind == RegisterKind::retry_after) word.duration = 1000 * (1 + below(3));
-  if (word.kind == RegisterKind::outage)
-    word.state = RouteState(below(3)), word.rate_before_outage = below(2);
-  if (word.kind == RegisterKind::rate_limit) word.rate_limit = 1 + below(3), word.remaining_share = below(2);
-  if (word.kind == RegisterKind::offline) word.offline = below(2);
-  return word;
+  RegisterRecord record;
+  record.kind = RegisterKind(below(4));
+  record.name = record.kind == RegisterKind::offline ? "e" + std::to_string(below(2))
+                                                     : "d000000000000000" + std::to_string(below(2));
+  record.version = {std::uint64_t(below(4)), MemberId(below(3))};
+  record.incarnation = {std::uint64_t(below(2)), 0};
+  if (record.kind == RegisterKind::retry_after) record.duration = 1000 * (1 + below(3));
+  if (record.kind == RegisterKind::outage)
+    record.state = RouteState(below(3)), record.rate_before_outage = below(2);
+  if (record.kind == RegisterKind::rate_limit)
+    record.rate_limit = 1 + below(3), record.remaining_share = below(2);
+  if (record.kind == RegisterKind::offline) record.offline = below(2);
+  return record;
 }
 
-using Heard = std::vector<std::pair<RegisterRecord, Millis>>;  // with the moment at which it was said
-Heard drawn_heard(int most) {
-  Heard heard;
+using Writes = std::vector<std::pair<RegisterRecord, Millis>>;  // with the time at which it was written
+Writes random_writes(int most) {
+  Writes writes;
   for (int i = *rc::gen::inRange(0, most); i > 0; --i) {
-    auto word = drawn_word();
-    heard.emplace_back(word, 10.0 * *rc::gen::inRange(0, 4));
+    auto record = random_record();
+    writes.emplace_back(record, 10.0 * *rc::gen::inRange(0, 4));
   }
-  return heard;
+  return writes;
 }
 
 std::string contents(const RegisterTable& table, bool with_moments) {
@@ -60,40 +61,40 @@
 }
 std::uint64_t digest(const RegisterTable& table) {
   std::uint64_t sum = 0;
-  for (RegisterKind matter : kinds_by_priority) sum = sum * 31 + table.digest(matter, 0, 0).sum;
+  for (RegisterKind kind : kinds_by_priority) sum = sum * 31 + table.digest(kind, 0, 0).sum;
   return sum;
 }
-RegisterTable table_of(const Heard& heard) {
+RegisterTable table_of(const Writes& writes) {
   RegisterTable table;
-  for (const auto& [word, at] : heard) table.merge(word, at, 100);
+  for (const auto& [record, at] : writes) table.merge(record, at, 100);
   return table;
 }
 
-TEST(RegisterTable, SettlesAlikeInAnyOrderAndAnyNumberOfTimes) {
+TEST(RegisterTable, MergeIsCommutativeAssociativeAndIdempotent) {
   EXPECT_TRUE(rc::check("commutative, associative, idempotent", [] {
-    auto heard = drawn_heard(24);
-    auto again = heard;
-    for (int i = *rc::gen::inRange(0, 8); i > 0 && !heard.empty(); --i)
-      again.push_back(heard[*rc::gen::inRange<std::size_t>(0, heard.size())]);
+    auto writes = random_writes(24);
+    auto again = writes;
+    for (int i = *rc::gen::inRange(0, 8); i > 0 && !writes.empty(); --i)
+      again.push_back(writes[*rc::gen::inRange<std::size_t>(0, writes.size())]);
     std::shuffle(again.begin(), again.end(), std::minstd_rand(*rc::gen::arbitrary<unsigned>()));
-    // Associative: what one has merged already is merged as a whole into what another has.
+    // Associativity: one merged table is merged as a whole into another.
     auto cut = again.empty() ? 0 : *rc::gen::inRange<std::size_t>(0, again.size());
     auto first = table_of({again.begin(), again.begin() + cut});
     auto second = table_of({again.begin() + cut, again.end()});
     for (const auto& [key, entry] : second.entries()) first.merge(entry.record, entry.written_at, 100);
-    RC_ASSERT(contents(first, true) == contents(table_of(heard), true));
+    RC_ASSERT(contents(first, true) == contents(table_of(writes), true));
   }));
 }
 
-TEST(RegisterTable, DigestsAreEqualWhereContentsAre) {
+TEST(RegisterTable, DigestsAreEqualIfAndOnlyIfContentsAre) {
   EXPECT_TRUE(rc::check("equal digests, equal contents", [] {
-    auto one = table_of(drawn_heard(6)), other = table_of(drawn_heard(6));
+    auto one = table_of(random_writes(6)), other = table_of(random_writes(6));
     RC_ASSERT((digest(one) == digest(other)) == (contents(one, false) == contents(other, false)));
-    for (RegisterKind matter : kinds_by_priority) {
-      auto whole = one.digest(matter, 0, 0);
+    for (RegisterKind kind : kinds_by_priority) {
+      auto whole = one.digest(kind, 0, 0);
       std::uint64_t sum = 0, entries = 0;
       for (std::uint64_t i = 0; i < 1 << 14; ++i) {
-        auto part = one.digest(matter, i, 14);
+        auto part = one.digest(kind, i, 14);
         sum += part.sum, entries += part.entry_count;
       }
       RC_ASSERT(sum == whole.sum && entries == whole.entry_count);
@@ -101,23 +102,25 @@
   }));
 }
 
-TEST(RegisterTable, KeepsBothOfOneVersionAndNamesThem) {
-  RegisterRecord out, other;
-  out.kind = other.kind = RegisterKind::offline, out.name = other.name = "e1";
-  out.version = other.version = {5, MemberId{1}}, out.offline = true;
+TEST(RegisterTable, KeepsAndReportsConflictingRecords) {
+  RegisterRecord offline_record, online_record;
+  offline_record.kind = online_record.kind = RegisterKind::offline,
+  offline_record.name = online_record.name = "e1";
+  offline_record.version = online_record.version = {5, MemberId{1}}, offline_record.offline = true;
   for (bool first : {true, false}) {
     RegisterTable table;
-    table.merge(first ? out : other, 0, 0), table.merge(first ? other : out, 0, 0);
-    EXPECT_TRUE(table.find(key_of(out))->record.offline);
+    table.merge(first ? offline_record : online_record, 0, 0),
+        table.merge(first ? online_record : offline_record, 0, 0);
+    EXPECT_TRUE(table.find(key_of(offline_record))->record.offline);
     ASSERT_EQ(table.conflicting_records().size(), 1u);
     EXPECT_FALSE(table.conflicting_records().begin()->second.front().offline);
     EXPECT_EQ(table.take_conflicts().size(), 1u);
-    table.merge(other, 0, 0);
+    table.merge(online_record, 0, 0);
     EXPECT_TRUE(table.take_conflicts().empty());
   }
 }
 
-TEST(RegisterTable, AnOldWordDoesNotComeAliveAgain) {
+TEST(RegisterTable, SupersededRecordDoesNotReturn) {
   RegisterRecord down;
   down.kind = RegisterKind::outage, down.name = "d0000000000000001", down.state = RouteState::down;
   down.version = {1, MemberId{1}};
@@ -128,11 +131,11 @@
   auto end = 1000 + retention_of(well);
   for (Millis now = 2000; now < end + 5000; now += 60e3) {
     table.remove_outdated(now);
-    EXPECT_NE(table.merge(down, 0, now), Merged::applied) << now;
+    EXPECT_NE(table.merge(down, 0, now), MergeResult::applied) << now;
   }
   table.remove_outdated(end + 1);
   EXPECT_TRUE(table.entries().empty());
-  EXPECT_EQ(table.merge(down, 0, end + 1), Merged::outdated);
+  EXPECT_EQ(table.merge(down, 0, end + 1), MergeResult::outdated);
   EXPECT_EQ(table.digest(RegisterKind::outage, 0, 0).sum, 0u);
 }
 
@@ -141,26 +144,26 @@
 struct Net {
   struct Node {
     std::unique_ptr<Registers> registers;
-    Millis ahead = 0;  // its clock
+    Millis clock_offset = 0;  // of its clock
     Millis wake = -1;
     std::vector<Millis> sent;
-    std::map<std::string, Millis> wait_ends;  // as learned, on the true clock
-    std::map<std::string, bool> outs;
-    std::vector<std::string> differing;
-    std::vector<RouteStatus> learned;
+    std::map<std::string, Millis> wait_ends;  // as reported, on the true clock
+    std::map<std::string, bool> offline;
+    std::vector<std::string> conflicts;
+    std::vector<RouteStatus> reports;
     std::size_t bytes = 0;
   };
   struct Event {
     Millis at;
     std::uint64_t number;
     std::size_t to, from;
-    std::string bytes;  // empty: a wake
+    std::string bytes;  // empty: a wake-up
     bool operator<(const Event& other) const {
       return std::tie(at, number) > std::tie(other.at, other.number);
     }
   };
 
-  explicit Net(std::size_t size, unsigned seed) : chance(seed), nodes(size) {
+  explicit Net(std::size_t size, unsigned seed) : random(seed), nodes(size) {
     for (std::size_t i = 0; i < size; ++i) {
       ids.push_back(MemberId{name_hash("member" + std::to_string(i))});
       numbers[ids[i]] = i;
@@ -170,14 +173,14 @@
       for (std::size_t j = 0; j < size; ++j)
         if (i != j) nodes[i].registers->on_link_change(ids[j], true);
   }
-  double draw(double low, double high) { return std::uniform_real_distribution<double>(low, high)(chance); }
-  void start(std::size_t i, std::uint64_t life) {
+  double draw(double low, double high) { return std::uniform_real_distribution<double>(low, high)(random); }
+  void start(std::size_t i, std::uint64_t incarnation) {
     nodes[i] = {};
-    nodes[i].ahead = draw(0, 600e3);
-    nodes[i].registers = Registers::make(ids[i], {life, i}, static_cast<int>(nodes.size()), chance());
-    nodes[i].registers->begin_turn(now + nodes[i].ahead);
-    nodes[i].registers->set_alive(living);
-    if (living.empty()) nodes[i].registers->set_alive(ids);
+    nodes[i].clock_offset = draw(0, 600e3);
+    nodes[i].registers = Registers::make(ids[i], {incarnation, i}, static_cast<int>(nodes.size()), random());
+    nodes[i].registers->begin_turn(now + nodes[i].clock_offset);
+    nodes[i].registers->set_alive(alive);
+    if (alive.empty()) nodes[i].registers->set_alive(ids);
     queue.push({now + draw(0, 1), ++number, i, i, {}});
   }
   void link(std::size_t a, std::size_t b, bool up) {
@@ -186,36 +189,36 @@
     nodes[a].registers->on_link_change(ids[b], up), nodes[b].registers->on_link_change(ids[a], up);
     turn(a), turn(b);
   }
-  // One node's turn: what is put in before it, by do_first.
+  // One node's turn; do_first supplies its input.
   void turn(std::size_t i, const std::function<void(Registers&)>& do_first = {}) {
     Node& node = nodes[i];
-    node.registers->begin_turn(now + node.ahead);
+    node.registers->begin_turn(now + node.clock_offset);
     if (do_first) do_first(*node.registers);
-    auto decided = node.registers->decide();
-    for (const auto& send : decided.sends) {
+    auto actions = node.registers->decide();
+    for (const auto& send : actions.sends) {
       auto bytes = peer::packed(send.message);
       node.sent.push_back(now), node.bytes += bytes.size(), ++messages;
-      words += send.message.records.size();
+      records += send.message.records.size();
       largest = std::max(largest, bytes.size());
       auto to = numbers.at(send.to);
       if (cuts.count({i, to}) || draw(0, 1) < loss) continue;
-      auto at = now + draw(least_delay, most_delay);
+      auto at = now + draw(min_delay, max_delay);
       auto& last = last_arrival[{i, to}];  // in order
       last = at = std::max(at, last);
       queue.push({at, ++number, to, i, bytes});
     }
-    for (const auto& known : decided.route_reports) {
-      node.learned.push_back(known);
-      if (known.retry_after_left > 0 && !node.wait_ends.count(std::to_string(known.route)))
-        ++knowing[known.route];
-      // As the decision module does: a wait is never shortened.
-      auto& end = node.wait_ends[std::to_string(known.route)];
-      end = std::max(end, now + known.retry_after_left);
+    for (const auto& status : actions.route_reports) {
+      node.reports.push_back(status);
+      if (status.retry_after_left > 0 && !node.wait_ends.count(std::to_string(status.route)))
+        ++members_knowing[status.route];
+      // As in the decision module, a wait is never shortened.
+      auto& end = node.wait_ends[std::to_string(status.route)];
+      end = std::max(end, now + status.retry_after_left);
     }
-    for (const auto& out : decided.offline_orders) node.outs[out.endpoint] = out.offline;
-    node.differing.insert(node.differing.end(), decided.conflicts.begin(), decided.conflicts.end());
-    if (decided.wake_in >= 0) {
-      auto at = now + std::max(decided.wake_in, 1.0);
+    for (const auto& order : actions.offline_orders) node.offline[order.endpoint] = order.offline;
+    node.conflicts.insert(node.conflicts.end(), actions.conflicts.begin(), actions.conflicts.end());
+    if (actions.wake_in >= 0) {
+      auto at = now + std::max(actions.wake_in, 1.0);
       if (node.wake <= now || at < node.wake) node.wake = at, queue.push({at, ++number, i, i, {}});
     }
   }
@@ -243,21 +246,21 @@
   }
   std::string contents(std::size_t i) {
     std::set<std::string> all;
-    nodes[i].registers->begin_turn(now + nodes[i].ahead);
-    for (auto word : nodes[i].registers->all_records()) word.age = 0, all.insert(peer::packed(word));
+    nodes[i].registers->begin_turn(now + nodes[i].clock_offset);
+    for (auto record : nodes[i].registers->all_records()) record.age = 0, all.insert(peer::packed(record));
     return peer::packed(all);
   }
-  bool alike(const std::vector<std::size_t>& which) {
+  bool equal_contents(const std::vector<std::size_t>& which) {
     for (auto i : which)
       if (contents(i) != contents(which[0])) return false;
     return true;
   }
-  std::vector<std::size_t> everyone() {
+  std::vector<std::size_t> all_nodes() {
     std::vector<std::size_t> all(nodes.size());
     for (std::size_t i = 0; i < all.size(); ++i) all[i] = i;
     return all;
   }
-  int most_in_a_second() {
+  int max_per_second() {
     int most = 0;
     for (auto& node : nodes)
       for (std::size_t first = 0, last = 0; last < node.sent.size(); ++last) {
@@ -267,106 +270,108 @@
     return most;
   }
 
-  std::mt19937 chance;
-  Millis now = 0, least_delay = 1, most_delay = 5;
+  std::mt19937 random;
+  Millis now = 0, min_delay = 1, max_delay = 5;
   double loss = 0;
-  std::vector<MemberId> ids, living;
+  std::vector<MemberId> ids, alive;
   std::map<MemberId, std::size_t> numbers;
   std::vector<Node> nodes;
   std::set<std::pair<std::size_t, std::size_t>> cuts;
   std::map<std::pair<std::size_t, std::size_t>, Millis> last_arrival;
   std::priority_queue<Event> queue;
   std::uint64_t number = 0;
-  std::size_t messages = 0, words = 0, largest = 0;
-  std::map<std::uint64_t, std::size_t> knowing;  // how many have learned of a wait
+  std::size_t messages = 0, records = 0, largest = 0;
+  std::map<std::uint64_t, std::size_t> members_knowing;  // by route: how many members have learned of a wait
 };
 
-RouteStatus told_wait(std::uint64_t route, Millis left) {
-  RouteStatus known;
-  known.route = route, known.retry_after_left = left, known.state_age = 1e18;
-  return known;
+RouteStatus retry_after_status(std::uint64_t route, Millis left) {
+  RouteStatus status;
+  status.route = route, status.retry_after_left = left, status.state_age = 1e18;
+  return status;
 }
 
-// Random members, topologies, delays and losses: what each was told, all know, to the end that was told and
-// no later than the crossings on the way; no waiting inside a member, and no second hearing, makes it longer.
+// Random members, topologies, delays and losses: every member knows each published wait until its end, and no
+// longer than the network delays on the way. Time spent inside a member or repeated receipt must not lengthen
+// it.
 TEST(Registers, ConvergesAndNeverLengthensAWait) {
   EXPECT_TRUE(rc::check("converges", [] {
     Net net(*rc::gen::inRange<std::size_t>(2, 14), *rc::gen::arbitrary<unsigned>());
-    net.most_delay = *rc::gen::inRange(2, 60);
+    net.max_delay = *rc::gen::inRange(2, 60);
     net.loss = *rc::gen::inRange(0, 4) * 0.1;
     auto size = net.nodes.size();
-    // A chain keeps them connected; each other link is there by chance.
+    // A chain keeps all connected; every other link exists at random.
     int cut = *rc::gen::inRange(0, 100);
     for (std::size_t i = 0; i < size; ++i)
       for (std::size_t j = i + 2; j < size; ++j)
         if (net.draw(0, 100) < cut) net.link(i, j, false);
     std::map<std::string, Millis> ends;
-    for (int said = 0; said < 12; ++said) {
+    for (int write = 0; write < 12; ++write) {
       auto i = static_cast<std::size_t>(net.draw(0, static_cast<double>(size)));
       auto left = net.draw(20e3, 60e3);
-      std::uint64_t route = 1 + said % 3;
+      std::uint64_t route = 1 + write % 3;
       auto& end = ends[std::to_string(route)];
       end = std::max(end, net.now + left);
-      net.turn(i, [&](Registers& r) { r.publish(told_wait(route, left)); });
-      // What one has learned comes back from the decision module, as if it were its own.
+      net.turn(i, [&](Registers& r) { r.publish(retry_after_status(route, left)); });
+      // The decision module publishes what it learned, as if it were its own.
       auto j = static_cast<std::size_t>(net.draw(0, static_cast<double>(size)));
-      auto learned = net.nodes[j].wait_ends;
-      for (const auto& [name, known] : learned)
-        net.turn(j, [&](Registers& r) { r.publish(told_wait(std::stoull(name), known - net.now)); });
+      auto known_ends = net.nodes[j].wait_ends;
+      for (const auto& [name, end] : known_ends)
+        net.turn(j, [&](Registers& r) { r.publish(retry_after_status(std::stoull(name), end - net.now)); });
       net.run(net.draw(0, 300));
     }
-    RC_ASSERT(net.run_until(40e3, [&] { return net.alike(net.everyone()); }));
+    RC_ASSERT(net.run_until(40e3, [&] { return net.equal_contents(net.all_nodes()); }));
     for (std::size_t i = 0; i < size; ++i)
-      for (const auto& word : net.nodes[i].registers->all_records()) {
-        auto end = net.now + word.duration - word.age;
-        auto told = ends.at(std::to_string(std::stoull(word.name.substr(1), nullptr, 16)));
-        RC_ASSERT(end <= told + static_cast<double>(size) * net.most_delay);
+      for (const auto& record : net.nodes[i].registers->all_records()) {
+        auto end = net.now + record.duration - record.age;
+        auto published = ends.at(std::to_string(std::stoull(record.name.substr(1), nullptr, 16)));
+        RC_ASSERT(end <= published + static_cast<double>(size) * net.max_delay);
       }
-    for (const auto& [name, told] : ends)
+    for (const auto& [name, published] : ends)
       for (std::size_t i = 0; i < size; ++i) {
         Millis end = 0;
-        for (const auto& word : net.nodes[i].registers->all_records())
-          if (std::stoull(word.name.substr(1), nullptr, 16) == std::stoull(name))
-            end = std::max(end, net.now + word.duration - word.age);
-        RC_ASSERT(end >= told - 0.01);
+        for (const auto& record : net.nodes[i].registers->all_records())
+          if (std::stoull(record.name.substr(1), nullptr, 16) == std::stoull(name))
+            end = std::max(end, net.now + record.duration - record.age);
+        RC_ASSERT(end >= published - 0.01);
       }
   }));
 }
 
-// A peer, or this process, that was stopped leaves messages lying: what they say has aged meanwhile.
-TEST(Registers, AMessageThatLayDoesNotLengthenAWait) {
+// While a peer or this process is stopped, messages wait in buffers, and the waits in them age.
+TEST(Registers, BufferedMessageDoesNotLengthenAWait) {
   Net net(2, 1);
   net.run(3000);
   auto bytes = std::string();
-  net.nodes[0].registers->begin_turn(net.now + net.nodes[0].ahead);
-  net.nodes[0].registers->publish(told_wait(7, 60e3));
-  auto told_end = net.now + 60e3;
+  net.nodes[0].registers->begin_turn(net.now + net.nodes[0].clock_offset);
+  net.nodes[0].registers->publish(retry_after_status(7, 60e3));
+  auto published_end = net.now + 60e3;
   for (const auto& send : net.nodes[0].registers->decide().sends) bytes = peer::packed(send.message);
   ASSERT_FALSE(bytes.empty());
-  net.now += 40e3;  // nothing ran
+  net.now += 40e3;  // no process ran
   net.turn(1, [&](Registers& r) { r.on_message(net.ids[0], peer::unpacked<RegisterMessage>(bytes)); });
   ASSERT_TRUE(net.nodes[1].wait_ends.count("7"));
-  EXPECT_GE(net.nodes[1].wait_ends["7"], told_end);
-  EXPECT_LE(net.nodes[1].wait_ends["7"], told_end + 0.001 * 45e3 + 10);
+  EXPECT_GE(net.nodes[1].wait_ends["7"], published_end);
+  EXPECT_LE(net.nodes[1].wait_ends["7"], published_end + 0.001 * 45e3 + 10);
 }
 
-struct Spreading {
+struct SpreadResult {
   std::vector<Millis> took;
   int most = 0;
   double mean = 0;
 };
-Spreading spread(std::size_t size, int waits, Millis apart, double loss, Millis least, Millis most) {
+SpreadResult measure_spread(std::size_t size, int waits, Millis apart, double loss, Millis least,
+                            Millis most) {
   Net net(size, 11);
-  net.least_delay = least, net.most_delay = most, net.loss = loss;
+  net.min_delay = least, net.max_delay = most, net.loss = loss;
   net.run(5000);
   net.messages = 0;
   for (auto& node : net.nodes) node.sent.clear();
   auto began = net.now;
-  Spreading result;
+  SpreadResult result;
   std::map<std::uint64_t, Millis> open;
   auto look = [&] {
     for (auto at = open.begin(); at != open.end();)
-      if (net.knowing[at->first] + 1 >= size)
+      if (net.members_knowing[at->first] + 1 >= size)
         result.took.push_back(net.now - at->second), at = open.erase(at);
       else ++at;
   };
@@ -374,69 +379,69 @@
     std::uint64_t route = 100 + i;
     auto from = static_cast<std::size_t>(net.draw(0, static_cast<double>(size)));
     open[route] = net.now;
-    net.turn(from, [&](Registers& r) { r.publish(told_wait(route, 30e3)); });
+    net.turn(from, [&](Registers& r) { r.publish(retry_after_status(route, 30e3)); });
     auto next = net.now + (i + 1 == waits ? 5000 : apart);
     while (net.step(next)) look();
   }
   for (std::size_t left = open.size(); left > 0; --left) result.took.push_back(5000);
   std::sort(result.took.begin(), result.took.end());
-  result.most = net.most_in_a_second();
+  result.most = net.max_per_second();
   result.mean = static_cast<double>(net.messages) / static_cast<double>(size) / ((net.now - began) / 1000);
   return result;
 }
-void print(const char* what, const Spreading& spread) {
+void print(const char* what, const SpreadResult& result) {
   auto at = [&](double share) {
-    return spread
-        .took[std::min(spread.took.size() - 1, static_cast<std::size_t>(share * spread.took.size()))];
+    return result
+        .took[std::min(result.took.size() - 1, static_cast<std::size_t>(share * result.took.size()))];
   };
   std::printf(
       "%s: known by all p50 %.0f ms, p99 %.0f ms, most %.0f ms; messages a member and second: mean %.1f, "
       "most in any second %d\n",
-      what, at(0.5), at(0.99), spread.took.back(), spread.mean, spread.most);
+      what, at(0.5), at(0.99), result.took.back(), result.mean, result.most);
 }
 
-TEST(Registers, AWaitIsKnownByAllInTime) {
-  auto five = spread(5, 100, 400, 0, 9, 10);
+TEST(Registers, WaitReachesAllInTime) {
+  auto five = measure_spread(5, 100, 400, 0, 9, 10);
   print("5 members, 10 ms a crossing", five);
   EXPECT_LT(five.took.back(), 2 * 10 + 50);
-  auto lossy = spread(5, 100, 400, 0.05, 9, 10);
+  auto lossy = measure_spread(5, 100, 400, 0.05, 9, 10);
   print("5 members, 1 message in 20 lost", lossy);
-  auto many = spread(300, 25, 400, 0, 5, 20);
+  auto many = measure_spread(300, 25, 400, 0, 5, 20);
   print("300 members, 5 to 20 ms a crossing", many);
   EXPECT_LT(many.took.back(), 1000);
   EXPECT_LE(many.most, 15);
-  auto busy = spread(300, 25, 50, 0, 5, 20);
+  auto busy = measure_spread(300, 25, 50, 0, 5, 20);
   print("300 members, 20 waits a second", busy);
   EXPECT_LE(busy.most, 15);
-  auto many_lossy = spread(300, 25, 400, 0.02, 5, 20);
+  auto many_lossy = measure_spread(300, 25, 400, 0.02, 5, 20);
   print("300 members, 1 message in 50 lost", many_lossy);
   EXPECT_LT(many_lossy.took.back(), 1000);
   EXPECT_LE(many_lossy.most, 15);
 }
 
-TEST(Registers, ACutLinkHoldsNothingBack) {
+TEST(Registers, CutLinkDelaysNothing) {
   Net net(3, 5);
   net.run(3000);
   net.link(0, 1, false);
   net.run(1000);
-  net.turn(0, [](Registers& r) { r.publish(told_wait(9, 5000)); });
-  auto told = net.now;
+  net.turn(0, [](Registers& r) { r.publish(retry_after_status(9, 5000)); });
+  auto published = net.now;
   ASSERT_TRUE(net.run_until(100, [&] { return net.nodes[1].wait_ends.count("9") > 0; }));
-  EXPECT_LT(net.now - told, 20);
-  EXPECT_GE(net.nodes[1].wait_ends["9"], told + 5000);
-  EXPECT_LE(net.nodes[1].wait_ends["9"], told + 5000 + 2 * net.most_delay);
+  EXPECT_LT(net.now - published, 20);
+  EXPECT_GE(net.nodes[1].wait_ends["9"], published + 5000);
+  EXPECT_LE(net.nodes[1].wait_ends["9"], published + 5000 + 2 * net.max_delay);
 }
 
-TEST(Registers, OrdersOfStaffAreSettledByTheLast) {
+TEST(Registers, LatestOfflineOrderWins) {
   Net net(4, 6);
   net.run(2000);
   net.turn(0, [](Registers& r) { r.publish_offline("10.0.0.1:80", true); });
   net.run(500);
-  EXPECT_TRUE(net.nodes[3].outs["10.0.0.1:80"]);
+  EXPECT_TRUE(net.nodes[3].offline["10.0.0.1:80"]);
   net.turn(3, [](Registers& r) { r.publish_offline("10.0.0.1:80", false); });
   net.run(500);
-  EXPECT_FALSE(net.nodes[0].outs["10.0.0.1:80"]);
-  // Two at once, on both sides of a cut: out.
+  EXPECT_FALSE(net.nodes[0].offline["10.0.0.1:80"]);
+  // Concurrent orders on both sides of a cut converge once it heals.
   for (std::size_t i : {0, 1})
     for (std::size_t j : {2, 3}) net.link(i, j, false);
   net.turn(0, [](Registers& r) { r.publish_offline("10.0.0.2:80", true); });
@@ -444,34 +449,34 @@
     r.publish_offline("10.0.0.2:80", true), r.publish_offline("10.0.0.2:80", false);
   });
   net.run(1000);
-  EXPECT_TRUE(net.nodes[1].outs["10.0.0.2:80"]);
-  EXPECT_FALSE(net.nodes[2].outs["10.0.0.2:80"]);
+  EXPECT_TRUE(net.nodes[1].offline["10.0.0.2:80"]);
+  EXPECT_FALSE(net.nodes[2].offline["10.0.0.2:80"]);
   for (std::size_t i : {0, 1})
     for (std::size_t j : {2, 3}) net.link(i, j, true);
-  ASSERT_TRUE(net.run_until(5000, [&] { return net.alike(net.everyone()); }));
+  ASSERT_TRUE(net.run_until(5000, [&] { return net.equal_contents(net.all_nodes()); }));
 }
 
-// The state of one that returns with an emptied folder, over a catch-up that is cut off in the middle.
-TEST(Registers, CatchUpGoesOnWhereItWas) {
+// A member returns with an emptied folder, and its catch-up is interrupted halfway.
+TEST(Registers, CatchUpResumesAfterInterruption) {
   Net net(3, 7);
   constexpr std::uint64_t entries = 20000;
-  std::vector<RegisterRecord> words;
+  std::vector<RegisterRecord> records;
   for (std::uint64_t i = 0; i < entries; ++i) {
-    RegisterRecord word;
+    RegisterRecord record;
     char text[24];
     std::snprintf(text, sizeof text, "d%016llx", static_cast<unsigned long long>(i));
-    word.kind = i % 100 ? RegisterKind::outage : RegisterKind::retry_after, word.name = text,
-    word.version = {i, net.ids[2]};
-    word.incarnation = {1, 2};
-    if (i % 100) word.state = RouteState::down;
-    else word.duration = 600e3;
-    words.push_back(word);
+    record.kind = i % 100 ? RegisterKind::outage : RegisterKind::retry_after, record.name = text,
+    record.version = {i, net.ids[2]};
+    record.incarnation = {1, 2};
+    if (i % 100) record.state = RouteState::down;
+    else record.duration = 600e3;
+    records.push_back(record);
   }
-  for (std::size_t i : {1, 2}) net.nodes[i].registers->restore(words, 0);
+  for (std::size_t i : {1, 2}) net.nodes[i].registers->restore(records, 0);
   EXPECT_FALSE(net.nodes[0].registers->caught_up());
-  auto whole = peer::packed(words).size();
+  auto whole = peer::packed(records).size();
   auto held = [&] { return net.nodes[0].registers->all_records(); };
-  ASSERT_TRUE(net.run_until(10e3, [&] { return net.words > entries / 2; }));
+  ASSERT_TRUE(net.run_until(10e3, [&] { return net.records > entries / 2; }));
   for (std::size_t j : {1, 2}) net.link(0, j, false);
   net.run(2000);
   auto before = held();
@@ -479,95 +484,95 @@
   EXPECT_EQ(std::count_if(before.begin(), before.end(),
                           [](auto& w) { return w.kind == RegisterKind::retry_after; }),
             200);
-  net.words = 0;
+  net.records = 0;
   for (std::size_t j : {1, 2}) net.link(0, j, true);
   ASSERT_TRUE(net.run_until(20e3, [&] { return held().size() == entries; }));
-  EXPECT_LT(net.words, entries - before.size() + entries / 5);
+  EXPECT_LT(net.records, entries - before.size() + entries / 5);
   ASSERT_TRUE(net.run_until(5e3, [&] { return net.nodes[0].registers->caught_up(); }));
   std::printf("catch-up from empty: %zu entries, whole copy %zu bytes, largest message %zu bytes\n",
-              words.size(), whole, net.largest);
+              records.size(), whole, net.largest);
 }
 
-TEST(Registers, CatchUpCostsLittleWhereLittleDiffers) {
+TEST(Registers, CatchUpCostIsProportionalToDifferences) {
   Net net(2, 8);
   constexpr std::uint64_t entries = 100000;
-  std::vector<RegisterRecord> old, fresh;
+  std::vector<RegisterRecord> old, changed;
   for (std::uint64_t i = 0; i < entries; ++i) {
-    RegisterRecord word;
+    RegisterRecord record;
     char text[24];
     std::snprintf(text, sizeof text, "d%016llx", static_cast<unsigned long long>(i * 2654435761u));
-    word.kind = RegisterKind::outage, word.name = text;
-    word.version = {(1ull << 40) + i, net.ids[i % 2]}, word.incarnation = {1ull << 40, i % 2},
-    word.state = RouteState::down;
-    old.push_back(word);
-    if (i % 100 == 0) word.version.counter += entries, word.state = RouteState::recovering;
-    fresh.push_back(word);
+    record.kind = RegisterKind::outage, record.name = text;
+    record.version = {(1ull << 40) + i, net.ids[i % 2]}, record.incarnation = {1ull << 40, i % 2},
+    record.state = RouteState::down;
+    old.push_back(record);
+    if (i % 100 == 0) record.version.counter += entries, record.state = RouteState::recovering;
+    changed.push_back(record);
   }
-  net.nodes[0].registers->restore(old, 0), net.nodes[1].registers->restore(fresh, 0);
-  auto whole = peer::packed(fresh).size();
+  net.nodes[0].registers->restore(old, 0), net.nodes[1].registers->restore(changed, 0);
+  auto whole = peer::packed(changed).size();
   ASSERT_TRUE(net.run_until(20e3, [&] { return net.nodes[0].registers->caught_up(); }));
-  ASSERT_TRUE(net.alike({0, 1}));
+  ASSERT_TRUE(net.equal_contents({0, 1}));
   auto bytes = net.nodes[0].bytes + net.nodes[1].bytes;
   std::printf(
       "catch-up with 1 in 100 of %zu entries differing: %zu bytes of %zu of a whole copy, %.2f in 100, "
       "in %.0f ms and %zu messages\n",
-      fresh.size(), bytes, whole, 100.0 * bytes / whole, net.now, net.messages);
+      changed.size(), bytes, whole, 100.0 * bytes / whole, net.now, net.messages);
   EXPECT_LT(bytes * 20, whole);
 }
 
-TEST(Registers, ARestartedMemberKnowsToTheExactEnd) {
+TEST(Registers, RestartedMemberKeepsTheExactEnd) {
   Net net(2, 9);
   net.run(2000);
-  net.turn(0, [](Registers& r) { r.publish(told_wait(3, 60e3)); });
+  net.turn(0, [](Registers& r) { r.publish(retry_after_status(3, 60e3)); });
   auto end = net.now + 60e3;
   net.run(1000);
   net.link(0, 1, false);
-  auto words = net.nodes[1].registers->all_records();
+  auto records = net.nodes[1].registers->all_records();
   net.now += 10e3;
   net.start(1, 2);
-  net.turn(1, [&](Registers& r) { r.restore(words, 10e3); });
-  EXPECT_NEAR(net.nodes[1].wait_ends["3"], end, net.most_delay);
-  // Its own words are newer than those of its earlier life from the start.
-  net.turn(1, [&](Registers& r) { r.publish(told_wait(3, 100e3)); });
+  net.turn(1, [&](Registers& r) { r.restore(records, 10e3); });
+  EXPECT_NEAR(net.nodes[1].wait_ends["3"], end, net.max_delay);
+  // From the start, its own records are newer than those of its earlier incarnation.
+  net.turn(1, [&](Registers& r) { r.publish(retry_after_status(3, 100e3)); });
   net.link(0, 1, true);
   ASSERT_TRUE(net.run_until(5000, [&] { return net.nodes[0].wait_ends["3"] > net.now + 90e3; }));
 }
 
-TEST(Registers, TellsNothingForNothing) {
+TEST(Registers, SendsNothingWithoutChanges) {
   Net net(3, 10);
   net.run(5000);
   net.messages = 0;
   for (int i = 0; i < 100; ++i) {
-    RouteStatus known = told_wait(4, 0);  // well, as ever
-    net.turn(0, [&](Registers& r) { r.publish(known); });
+    RouteStatus status = retry_after_status(4, 0);  // still healthy
+    net.turn(0, [&](Registers& r) { r.publish(status); });
     net.run(100);
   }
   EXPECT_LT(net.messages, 3 * 10 * 2.5);
-  EXPECT_TRUE(net.nodes[1].learned.empty());
+  EXPECT_TRUE(net.nodes[1].reports.empty());
 }
 
-TEST(Registers, RefusesWhatCannotBe) {
+TEST(Registers, RejectsInvalidMessages) {
   Net net(2, 12);
   RegisterRecord good;
   good.kind = RegisterKind::retry_after, good.name = "d0000000000000001", good.duration = 10;
-  auto refused = [&](auto change) {
-    RegisterRecord word = good;
-    change(word);
+  auto expect_rejected = [&](auto change) {
+    RegisterRecord record = good;
+    change(record);
     RegisterMessage message;
-    message.records = {word};
+    message.records = {record};
     net.nodes[0].registers->begin_turn(1);
     EXPECT_THROW(net.nodes[0].registers->on_message(net.ids[1], message), BadMessage);
-    EXPECT_THROW(net.nodes[0].registers->restore({good, word}, 0), BadMessage);
+    EXPECT_THROW(net.nodes[0].registers->restore({good, record}, 0), BadMessage);
     EXPECT_TRUE(net.nodes[0].registers->all_records().empty());
   };
-  refused([](RegisterRecord& word) { word.duration = std::nan(""); });
-  refused([](RegisterRecord& word) { word.duration = 1e18; });
-  refused([](RegisterRecord& word) { word.age = -1; });
-  refused([](RegisterRecord& word) { word.name = "d1"; });
-  refused([](RegisterRecord& word) { word.name = "x0000000000000001"; });
-  refused([](RegisterRecord& word) { word.version.counter = UINT64_MAX; });
-  refused([](RegisterRecord& word) { word.state = RouteState(9); });
-  refused([](RegisterRecord& word) { word.kind = RegisterKind(9); });
+  expect_rejected([](RegisterRecord& record) { record.duration = std::nan(""); });
+  expect_rejected([](RegisterRecord& record) { record.duration = 1e18; });
+  expect_rejected([](RegisterRecord& record) { record.age = -1; });
+  expect_rejected([](RegisterRecord& record) { record.name = "d1"; });
+  expect_rejected([](RegisterRecord& record) { record.name = "x0000000000000001"; });
+  expect_rejected([](RegisterRecord& record) { record.version.counter = UINT64_MAX; });
+  expect_rejected([](RegisterRecord& record) { record.state = RouteState(9); });
+  expect_rejected([](RegisterRecord& record) { record.kind = RegisterKind(9); });
   RegisterMessage message;
   message.requested = {{RegisterKind::retry_after, 16, 4, 0, 0}};
   EXPECT_THROW(net.nodes[0].registers->on_message(net.ids[1], message), BadMessage);
--- a/tests/fleet/route_gossip_test.cpp
+++ b/tests/fleet/route_gossip_test.cpp
@@ -1,5 +1,5 @@
-// Holds the short notes to their word: small enough, said once by one of many, bounded in rate, and no more
-// than was known.
+// Tests of the route gossip: datagrams are small enough, one of many relays sends an update, the rate is
+// bounded, and no update claims more than was known.
 #include "fleet/route_gossip.h"
 
 #include <gtest/gtest.h>
@@ -16,25 +16,25 @@
 namespace {
 
 RouteStatus wait_of(std::uint64_t route, Millis left) {
-  RouteStatus known;
-  known.route = route, known.retry_after_left = left;
-  return known;
+  RouteStatus status;
+  status.route = route, status.retry_after_left = left;
+  return status;
 }
 RouteStatus state_of(std::uint64_t route, RouteState state, Millis age = 0) {
-  RouteStatus known;
-  known.route = route, known.state = state, known.state_age = age, known.rate_before_outage = 3.5;
-  return known;
+  RouteStatus status;
+  status.route = route, status.state = state, status.state_age = age, status.rate_before_outage = 3.5;
+  return status;
 }
 
-// Relays that hear each other after a drawn time, on one clock.
+// Relays that receive each other's datagrams after a random delay, on one clock.
 class Tier {
  public:
-  explicit Tier(int relays, double lost = 0) : lost_(lost), chance_(7) {
-    for (int i = 0; i < relays; ++i) notes_.push_back(RouteGossip::make(static_cast<std::uint64_t>(i) + 11));
-    learned.resize(notes_.size());
+  explicit Tier(int relays, double loss_probability = 0) : loss_probability_(loss_probability), random_(7) {
+    for (int i = 0; i < relays; ++i) gossip_.push_back(RouteGossip::make(static_cast<std::uint64_t>(i) + 11));
+    received.resize(gossip_.size());
   }
-  void tell(int relay, const RouteStatus& known) {
-    at(relay).publish(known);
+  void publish(int relay, const RouteStatus& status) {
+    at(relay).publish(status);
     turn(relay);
   }
   void run_to(Millis until) {
@@ -44,8 +44,8 @@
       now_ = when;
       if (!event.datagram.empty()) {
         at(event.relay).on_datagram(event.datagram);
-        for (const auto& known : at(event.relay).take_reports())
-          learned[static_cast<std::size_t>(event.relay)].emplace_back(now_, known);
+        for (const auto& status : at(event.relay).take_reports())
+          received[static_cast<std::size_t>(event.relay)].emplace_back(now_, status);
       }
       turn(event.relay);
     }
@@ -53,7 +53,7 @@
   }
 
   int sent = 0;
-  std::vector<std::vector<std::pair<Millis, RouteStatus>>> learned;
+  std::vector<std::vector<std::pair<Millis, RouteStatus>>> received;
 
  private:
   struct Event {
@@ -61,107 +61,107 @@
     RouteDatagram datagram;
   };
   RouteGossip& at(int relay) {
-    auto& notes = *notes_[static_cast<std::size_t>(relay)];
-    notes.begin_turn(now_);
-    return notes;
+    auto& gossip = *gossip_[static_cast<std::size_t>(relay)];
+    gossip.begin_turn(now_);
+    return gossip;
   }
   void turn(int relay) {
-    auto decided = at(relay).decide();
-    for (const auto& datagram : decided.datagrams) {
+    auto actions = at(relay).decide();
+    for (const auto& datagram : actions.datagrams) {
       ++sent;
       EXPECT_LE(datagram.size(), max_updates_per_datagram);
       EXPECT_LE(peer::packed(datagram).size(), 256u);
-      for (int other = 0; other < static_cast<int>(notes_.size()); ++other)
-        if (other != relay && std::uniform_real_distribution<>(0, 1)(chance_) >= lost_)
-          events_.emplace(now_ + std::uniform_real_distribution<>(1, 8)(chance_), Event{other, datagram});
+      for (int other = 0; other < static_cast<int>(gossip_.size()); ++other)
+        if (other != relay && std::uniform_real_distribution<>(0, 1)(random_) >= loss_probability_)
+          events_.emplace(now_ + std::uniform_real_distribution<>(1, 8)(random_), Event{other, datagram});
     }
-    if (decided.wake_in >= 0) events_.emplace(now_ + std::max(0.01, decided.wake_in), Event{relay, {}});
+    if (actions.wake_in >= 0) events_.emplace(now_ + std::max(0.01, actions.wake_in), Event{relay, {}});
   }
 
-  const double lost_;
-  std::minstd_rand chance_;
+  const double loss_probability_;
+  std::minstd_rand random_;
   Millis now_ = 1000;
-  std::vector<std::unique_ptr<RouteGossip>> notes_;
+  std::vector<std::unique_ptr<RouteGossip>> gossip_;
   std::multimap<Millis, Event> events_;
 };
 
-TEST(Notes, OfManyThatLearnTheSameFewSpeakAndAllKnow) {
+TEST(RouteGossip, FewOfManyRelaysSendAndAllReceive) {
   Tier tier(100);
-  for (int i = 0; i < 100; ++i) tier.tell(i, state_of(9, RouteState::down));
+  for (int i = 0; i < 100; ++i) tier.publish(i, state_of(9, RouteState::down));
   tier.run_to(1500);
   EXPECT_GE(tier.sent, 1);
-  EXPECT_LE(tier.sent, 40);  // those whose moment fell into the first one's time on its way
+  EXPECT_LE(tier.sent, 40);  // those whose delay ended while the first datagram was in transit
   Tier one(100);
-  one.tell(3, state_of(9, RouteState::down));
+  one.publish(3, state_of(9, RouteState::down));
   one.run_to(1500);
   EXPECT_EQ(one.sent, 1);
-  for (std::size_t i = 0; i < 100; ++i) EXPECT_EQ(one.learned[i].size(), i == 3 ? 0u : 1u);
+  for (std::size_t i = 0; i < 100; ++i) EXPECT_EQ(one.received[i].size(), i == 3 ? 0u : 1u);
 }
 
-TEST(Notes, AWaitIsNeverLongerThanTold) {
+TEST(RouteGossip, WaitIsNeverLengthened) {
   Tier tier(5);
-  tier.tell(0, wait_of(4, 900));  // told at 1000
+  tier.publish(0, wait_of(4, 900));  // published at 1000
   tier.run_to(3000);
   for (std::size_t i = 1; i < 5; ++i) {
-    ASSERT_EQ(tier.learned[i].size(), 1u);
-    const auto& [when, known] = tier.learned[i][0];
-    EXPECT_LE(when + known.retry_after_left, 1900 + 8);  // beyond it by no more than the time on its way
-    EXPECT_GE(when + known.retry_after_left, 1900 - 1);
+    ASSERT_EQ(tier.received[i].size(), 1u);
+    const auto& [when, status] = tier.received[i][0];
+    EXPECT_LE(when + status.retry_after_left, 1900 + 8);  // later by no more than the network delay
+    EXPECT_GE(when + status.retry_after_left, 1900 - 1);
   }
 }
 
-TEST(Notes, WhatIsOverSoonOrSaidAlreadyIsNotWorthOne) {
+TEST(RouteGossip, ShortWaitsAndRepeatsAreNotSent) {
   Tier tier(3);
-  tier.tell(0, wait_of(4, 100));
-  tier.tell(0, state_of(5, RouteState::healthy));
+  tier.publish(0, wait_of(4, 100));
+  tier.publish(0, state_of(5, RouteState::healthy));
   tier.run_to(2000);
   EXPECT_EQ(tier.sent, 0);
-  tier.tell(0, wait_of(4, 2000));
+  tier.publish(0, wait_of(4, 2000));
   tier.run_to(2200);
-  tier.tell(1, wait_of(4, 1810));  // ends as the one that it has heard of
+  tier.publish(1, wait_of(4, 1810));  // same end as the one that it received
   tier.run_to(2400);
   EXPECT_EQ(tier.sent, 1);
-  tier.tell(1, wait_of(4, 4000));
+  tier.publish(1, wait_of(4, 4000));
   tier.run_to(2600);
   EXPECT_EQ(tier.sent, 2);
 }
 
-TEST(Notes, AnOutageAndItsEndAreBothSaid) {
+TEST(RouteGossip, OutageAndItsEndAreBothSent) {
   Tier tier(3);
-  tier.tell(0, state_of(5, RouteState::down, 300));
+  tier.publish(0, state_of(5, RouteState::down, 300));
   tier.run_to(1500);
-  tier.tell(0, state_of(5, RouteState::recovering));
+  tier.publish(0, state_of(5, RouteState::recovering));
   tier.run_to(2000);
-  tier.tell(0, state_of(5, RouteState::healthy));
+  tier.publish(0, state_of(5, RouteState::healthy));
   tier.run_to(2500);
-  ASSERT_EQ(tier.learned[1].size(), 3u);
-  EXPECT_EQ(tier.learned[1][0].second.state, RouteState::down);
-  EXPECT_GE(tier.learned[1][0].second.state_age, 300);
-  EXPECT_NEAR(tier.learned[1][0].second.rate_before_outage, 3.5, 0.001);
-  EXPECT_EQ(tier.learned[1][1].second.state, RouteState::recovering);
-  EXPECT_EQ(tier.learned[1][2].second.state, RouteState::healthy);
+  ASSERT_EQ(tier.received[1].size(), 3u);
+  EXPECT_EQ(tier.received[1][0].second.state, RouteState::down);
+  EXPECT_GE(tier.received[1][0].second.state_age, 300);
+  EXPECT_NEAR(tier.received[1][0].second.rate_before_outage, 3.5, 0.001);
+  EXPECT_EQ(tier.received[1][1].second.state, RouteState::recovering);
+  EXPECT_EQ(tier.received[1][2].second.state, RouteState::healthy);
 }
 
-TEST(Notes, NoRelaySaysMoreThanItsRate) {
+TEST(RouteGossip, RelayKeepsWithinItsRate) {
   Tier tier(2);
   for (int step = 0; step < 200; ++step) {
     for (std::uint64_t route = 0; route < 30; ++route)
-      tier.tell(0, wait_of(route, 500 + 100 * step + static_cast<double>(route)));
+      tier.publish(0, wait_of(route, 500 + 100 * step + static_cast<double>(route)));
     tier.run_to(1000 + 50 * (step + 1));
   }
   EXPECT_LE(tier.sent, 4 * 10 + 4);
   EXPECT_GE(tier.sent, 20);
 }
 
-TEST(Notes, WhatALaterVersionSaysIsPassedOver) {
-  auto notes = RouteGossip::make(1);
-  notes->begin_turn(10);
-  notes->on_datagram(
+TEST(RouteGossip, UnknownKindsAreIgnored) {
+  auto gossip = RouteGossip::make(1);
+  gossip->begin_turn(10);
+  gossip->on_datagram(
       {{static_cast<UpdateKind>(9), false, 1, 100, 0, 0}, {UpdateKind::retry_after, false, 2, 700, 0, 0}});
-  auto known = notes->take_reports();
-  ASSERT_EQ(known.size(), 1u);
-  EXPECT_EQ(known[0].route, 2u);
-  EXPECT_EQ(known[0].retry_after_left, 700);
+  auto reports = gossip->take_reports();
+  ASSERT_EQ(reports.size(), 1u);
+  EXPECT_EQ(reports[0].route, 2u);
+  EXPECT_EQ(reports[0].retry_after_left, 700);
 }
 
 }  // namespace
