--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -8,12 +8,10 @@
 // refutation count; one that does not within the suspicion timeout is declared dead. Four further rules keep
 // a member that has problems of its own from harming others:
 // - A member's findings spread only while somebody acknowledges its pings. One that receives messages but
-// gets
-//   no acks suspects nobody. The findings of an isolated one are tentative: they are not gossiped, and any
-//   evidence that the other lives undoes them.
+//   gets no acks suspects nobody. The findings of an isolated one are tentative: they are not gossiped, and
+//   any evidence that the other lives undoes them.
 // - A member that was declared dead, or that declared a living one dead, makes all its findings tentative;
-// and
-//   what a member that is held to be dead says against others is ignored.
+//   and what a member that is held to be dead says against others is ignored.
 // - Time in which this process did not run counts toward no ack or suspicion timeout.
 // - A member whose acks arrive late or only indirectly gives all others more time.
 
--- a/src/fleet/registers.h
+++ b/src/fleet/registers.h
@@ -118,7 +118,7 @@
   virtual void begin_turn(Millis now) = 0;
   virtual void set_alive(const std::vector<MemberId>& members) = 0;  // including this member
   virtual void on_link_change(MemberId peer, bool up) = 0;
-  virtual void publish(const RouteStatus& own) = 0;  // from Decision::route_statuses
+  virtual void publish(const RouteStatus& status) = 0;  // from Decision::route_statuses
   virtual void publish_offline(const std::string& endpoint, bool offline) = 0;
   virtual void on_message(MemberId from, const RegisterMessage& message) = 0;  // throws BadMessage
   virtual Actions decide() = 0;
--- a/src/fleet/route_gossip.h
+++ b/src/fleet/route_gossip.h
@@ -38,7 +38,7 @@
   virtual ~RouteGossip() = default;
 
   virtual void begin_turn(Millis now) = 0;
-  virtual void publish(const RouteStatus& own) = 0;  // from Decision::route_statuses(false)
+  virtual void publish(const RouteStatus& status) = 0;  // from Decision::route_statuses(false)
   virtual void on_datagram(const RouteDatagram& datagram) = 0;
   // What was received since the last call, for Decision::apply_route_status.
   virtual std::vector<RouteStatus> take_reports() = 0;
--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -407,14 +407,15 @@
       net.run(minute);
       figures["2 messages a second"].push_back(net.rate(since).second);
       net.forget();
-      for (bool told : {true, false}) {
-        int gone = told ? 1 : 2;
-        net.kill(gone, told);
+      for (bool links_report : {true, false}) {
+        int gone = links_report ? 1 : 2;
+        net.kill(gone, links_report);
         auto was = net.now;
-        within(told ? "3 killed, link broken: first verdict" : "5 silent: first verdict",
+        within(links_report ? "3 killed, link broken: first verdict" : "5 silent: first verdict",
                [&] { return net.deaths_declared(gone) > 0; });
         net.run(minute, [&] { return net.all_see_as(gone, MemberState::dead); });
-        figures[told ? "4 killed, link broken: all know" : "6 silent: all know"].push_back(net.now - was);
+        figures[links_report ? "4 killed, link broken: all know" : "6 silent: all know"].push_back(net.now -
+                                                                                                   was);
         net.start(gone, {2, 7});
         net.run(minute, [&] { return net.settled(); });
       }
