--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -631,9 +631,9 @@
 
 }  // namespace
 
-std::unique_ptr<Membership> Membership::make(const Roster& roster, MemberId self, Incarnation own,
+std::unique_ptr<Membership> Membership::make(const Roster& roster, MemberId self, Incarnation incarnation,
                                              std::uint64_t seed) {
-  return std::make_unique<SwimMembership>(roster, self, own, seed);
+  return std::make_unique<SwimMembership>(roster, self, incarnation, seed);
 }
 
 }  // namespace rockcrank::fleet
