--- a/src/fleet/custody.cpp
+++ b/src/fleet/custody.cpp
@@ -1,6 +1,6 @@
-// All decisions of custody. The interface is custody.h; the rules at the end of this file are gone through,
-// after every input, until none fires. The argument that no two relays own a document at once is in
-// docs/fleet-documents.md; each step that it rests on is marked "Safety" here.
+// Implements custody. The rules at the end of this file are evaluated after every input until none
+// fires. docs/fleet-documents.md argues that no two relays own a document at the same time; each step that
+// the argument relies on is marked "Safety" here.
 #include "fleet/custody.h"
 
 #define XXH_INLINE_ALL
@@ -19,153 +19,165 @@
 namespace rockcrank::fleet {
 namespace {
 
-using Kind = CustodyMessage::Kind;
-using EventKind = WireLogEntry::Kind;
+using MessageKind = CustodyMessage::Kind;
+using EntryKind = WireLogEntry::Kind;
 
 constexpr Millis never = 1e18;
-constexpr int beats_a_lease = 4;                  // renewals, and what was not answered sent again
-constexpr double patience = 0.25;                 // of a lease: an owner just back comes before its copies
-constexpr double return_patience = 2;             // leases that one that returned waits for an answer
-constexpr double give_up_after = 4;               // leases without a lease: later documents begin a new group
-constexpr std::size_t batch_bytes = 64 * 1024;    // of one message, but for one document larger than that
-constexpr std::size_t window_bytes = 256 * 1024;  // on the way to one holder
-constexpr std::size_t parts_out_most = 2;         // of a catch-up, on the way to one holder
-constexpr std::size_t range_docs = 32, range_bytes = 64 * 1024;
-constexpr std::size_t log_most = 262144;               // entries; a copy further behind gets what differs
-constexpr std::size_t copies_bytes_most = 256u << 20;  // of all copies held for others
-constexpr std::size_t inventory_docs = 1024;           // of one message
-constexpr std::size_t upkeep_bytes = 160;              // of a document, beside its record
-constexpr Millis keep_expired = 60000;                 // a copy whose owner is silent, after its expiry
-constexpr Millis forget_after = 600000;   // a document that nobody can prove to own, after its expiry
-constexpr std::size_t notes_most = 1024;  // of groups that this relay has nothing left of
-constexpr std::size_t views_most = 4;     // that may count at once, while changes are not settled
+constexpr int heartbeats_per_lease = 4;  // each renews the lease and resends what was not acknowledged
+// Lets an owner that just restarted start its election before its replicas do.
+constexpr double election_delay_leases = 0.25;
+constexpr double recovery_timeout_leases = 2;  // how long a recovering owner waits for its replicas' answers
+// Time without a lease after which new documents start another group.
+constexpr double new_group_after_leases = 4;
+constexpr std::size_t max_batch_bytes = 64 * 1024;  // per message, except for a single larger document
+constexpr std::size_t max_unacknowledged_bytes = 256 * 1024;  // in flight to one replica
+constexpr std::size_t max_unacknowledged_ranges = 2;  // in flight to one replica that is resynchronized
+constexpr std::size_t max_range_documents = 32, max_range_bytes = 64 * 1024;
+// A replica further behind is resynchronized by range digests.
+constexpr std::size_t max_log_entries = 262144;
+constexpr std::size_t max_replicated_bytes = 256u << 20;  // of all documents held as a replica
+constexpr std::size_t max_inventory_documents = 1024;     // per message
+constexpr std::size_t document_overhead_bytes = 160;      // per document, in addition to its record
+// For a replica's document after its expiry, when the owner is silent.
+constexpr Millis expired_replica_retention = 60000;
+// For a document whose ownership nobody can prove, after its expiry.
+constexpr Millis unowned_retention = 600000;
+constexpr std::size_t max_idle_groups = 1024;  // groups without documents whose state is kept
+// In force at once while reconfigurations are in progress.
+constexpr std::size_t max_active_configurations = 4;
 
-enum class Role { former, holder, owner, returning };
+enum class Role { inactive, replica, owner, recovering };
 
-struct Risk {
-  int transmission = 0;
-  Millis at = 0;
-  ZoneId hall{};
-  std::uint64_t event = 0;  // of the log, by which it is noted
+struct Transmission {
+  int number = 0;
+  Millis started_at = 0;
+  ZoneId zone{};
+  std::uint64_t log_index = 0;  // of the log entry that records it
 };
 
 struct Doc {
-  DocumentState papers;  // but for its times
-  Millis expiry = 0, copied_by = never;
-  std::vector<Risk> risks;
-  bool answered = true;
-  std::uint64_t paper_event = 0, end_event = 0;
-  std::size_t bytes() const { return papers.record.size() + upkeep_bytes; }
+  DocumentState state;  // except for its times
+  Millis expiry = 0, replication_deadline = never;
+  std::vector<Transmission> in_doubt;
+  bool accepted = true;
+  std::uint64_t document_index = 0, end_index = 0;
+  std::size_t bytes() const { return state.record.size() + document_overhead_bytes; }
 };
 
-struct Entry {
-  EventKind kind{};
-  std::uint64_t deed = 0;
-  Risk risk;
+struct LogEntry {
+  EntryKind kind{};
+  std::uint64_t document_number = 0;
+  Transmission transmission;
 };
 
-// What the owner knows of one holder.
+// The owner's view of the replication to one replica.
 struct Progress {
-  std::uint64_t sent = 0, noted = 0;  // of the log
-  bool whole = false, accepted = false;
-  Millis lease_from = -never;  // the sending of the last renewal that was answered
-  std::map<std::uint64_t, Millis> renewals;
-  std::deque<std::pair<std::uint64_t, std::size_t>> flight;
-  std::size_t flight_bytes = 0, parts_out = 0;
-  std::deque<DocumentRange> todo;
-  bool digests_out = false;
-  std::uint64_t marked = 0;  // noted at the last beat
-  void start_over(std::uint64_t end) {
-    sent = whole ? noted : end, flight.clear(), flight_bytes = 0, parts_out = 0, todo.clear();
-    digests_out = false;
-  }
-  void heard_of(std::uint64_t number) {
-    noted = std::max(noted, number);
-    for (; !flight.empty() && flight.front().first <= number; flight.pop_front())
-      flight_bytes -= flight.front().second;
+  std::uint64_t sent_index = 0, match_index = 0;  // in the log
+  bool in_sync = false, configuration_accepted = false;
+  Millis lease_start = -never;  // when the last acknowledged renewal was sent
+  std::map<std::uint64_t, Millis> pending_renewals;
+  std::deque<std::pair<std::uint64_t, std::size_t>> in_flight;
+  std::size_t in_flight_bytes = 0, ranges_in_flight = 0;
+  std::deque<DocumentRange> pending_ranges;
+  bool digests_in_flight = false;
+  std::uint64_t last_heartbeat_match_index = 0;
+  void reset(std::uint64_t end) {
+    sent_index = in_sync ? match_index : end, in_flight.clear(), in_flight_bytes = 0, ranges_in_flight = 0,
+    pending_ranges.clear();
+    digests_in_flight = false;
+  }
+  void acknowledge(std::uint64_t number) {
+    match_index = std::max(match_index, number);
+    for (; !in_flight.empty() && in_flight.front().first <= number; in_flight.pop_front())
+      in_flight_bytes -= in_flight.front().second;
   }
 };
 
 struct Group {
   GroupId id;
-  Role role = Role::former;
-  Version voted;
-  std::vector<Configuration> views;  // owner: each that may count, the newest last; else the newest known
+  Role role = Role::inactive;
+  Version voted_term;
+  // Owner: all in force, the newest last; otherwise the newest known.
+  std::vector<Configuration> configurations;
   std::map<std::uint64_t, Doc> docs;
-  std::uint64_t highest = 0;
+  std::uint64_t highest_document = 0;
   std::size_t bytes = 0;  // of docs
 
-  // Owner.
-  std::deque<Entry> log;  // the last is number log_end
-  std::uint64_t log_end = 0, renewals = 0;
+  // State of an owner.
+  std::deque<LogEntry> log;  // the last entry has index last_index
+  std::uint64_t last_index = 0, renewal_count = 0;
   std::map<RelayInstance, Progress> progress;
-  bool acted = false, from_copies = false;
-  Millis beat_at = 0, led_at = -never;
-  std::deque<std::pair<std::uint64_t, std::uint64_t>> to_answer;  // event, deed
-  std::vector<std::pair<std::uint64_t, int>> to_go;
-  std::deque<std::pair<std::uint64_t, std::uint64_t>> to_tell;
-  Version higher;  // voted for elsewhere
+  bool is_active = false, taken_over = false;
+  Millis next_heartbeat_at = 0, last_lease_at = -never;
+  std::deque<std::pair<std::uint64_t, std::uint64_t>> awaiting_replication;  // log index, document number
+  std::vector<std::pair<std::uint64_t, int>> held_transmissions;
+  std::deque<std::pair<std::uint64_t, std::uint64_t>> held_ends;
+  Version highest_seen_term;  // in which another member has voted
 
-  // Holder.
-  RelayInstance given_to;
-  Millis given_until = -never, try_at = 0;
-  std::uint64_t cursor = 0;
-  bool whole = false;     // as of its owner's log, up to the cursor
-  LogPosition position;   // of what is held, for votes; no term: nothing that counts
-  bool aged = false;      // some copies were dropped for their age
-  bool made_way = false;  // without room, the other holder was let go first
+  // State of a replica.
+  RelayInstance lease_granted_to;
+  Millis lease_granted_until = -never, next_election_at = 0;
+  std::uint64_t applied_index = 0;
+  bool in_sync = false;          // has everything of the owner's log up to applied_index
+  LogPosition log_position;      // compared in elections; no term: holds nothing that qualifies
+  bool dropped_expired = false;  // some documents were dropped because they had expired
+  bool yielded = false;          // without capacity, it has let the other replica start an election first
 
-  // One that asks for votes.
-  Version asked;
-  bool trial = false, asking = false, objected = false;
-  Millis asked_at = 0, asks_since = 0;
-  std::set<std::pair<std::uint64_t, MemberId>> yes;  // by change of the view voted in
+  // State of a candidate.
+  Version requested_term;
+  bool is_pre_vote = false, is_candidate = false, has_stale_state = false;
+  Millis votes_requested_at = 0, recovery_started_at = 0;
+  std::set<std::pair<std::uint64_t, MemberId>> votes;  // revision of the configuration voted in, voter
   std::map<MemberId, RelayInstance> voters;
-  std::map<MemberId, std::pair<std::size_t, std::size_t>> inventories;  // entries got, of how many
-  std::map<std::uint64_t, std::vector<DocumentState::InDoubtTransmission>> listed;  // of the inventories
-  std::vector<std::pair<std::uint64_t, std::set<std::uint64_t>>>
-      held_by;  // highest, and deeds, of whole ones
+  std::map<MemberId, std::pair<std::size_t, std::size_t>> inventories;  // entries received and expected
+  // From the inventories.
+  std::map<std::uint64_t, std::vector<DocumentState::InDoubtTransmission>> reported_in_doubt;
+  // Per inventory: the highest document number if the inventory is complete, and the document numbers.
+  std::vector<std::pair<std::uint64_t, std::set<std::uint64_t>>> reported_documents;
 
-  const Configuration& view() const { return views.back(); }
-  Version term() const { return views.empty() ? Version{} : views.back().term; }
+  const Configuration& configuration() const { return configurations.back(); }
+  Version term() const { return configurations.empty() ? Version{} : configurations.back().term; }
 };
 
-bool sits(const Configuration& view, const RelayInstance& seat) {
-  return view.owner == seat || std::ranges::find(view.replicas, seat) != view.replicas.end();
+bool includes(const Configuration& configuration, const RelayInstance& instance) {
+  return configuration.owner == instance ||
+         std::ranges::find(configuration.replicas, instance) != configuration.replicas.end();
 }
-bool sits(const Configuration& view, MemberId member) {
-  return view.owner.member == member ||
-         std::ranges::any_of(view.replicas, [&](const RelayInstance& seat) { return seat.member == member; });
+bool includes(const Configuration& configuration, MemberId member) {
+  return configuration.owner.member == member ||
+         std::ranges::any_of(configuration.replicas,
+                             [&](const RelayInstance& instance) { return instance.member == member; });
 }
-// Only two holders can elect another owner, so only a view with two binds its owner to a lease.
-bool binds(const Configuration& view) { return view.replicas.size() == 2; }
+// Two replicas are needed to elect another owner, so the owner needs a lease only in a configuration with
+// two.
+bool requires_lease(const Configuration& configuration) { return configuration.replicas.size() == 2; }
 
-std::uint64_t sum_of(std::uint64_t number, const Doc& doc) {
-  std::vector<std::uint64_t> all{number, static_cast<std::uint64_t>(doc.papers.transmission_count),
-                                 doc.papers.acceptance_confirmed + 2u * doc.papers.ended};
-  std::vector<int> risks;
-  for (const Risk& risk : doc.risks) risks.push_back(risk.transmission);
-  std::ranges::sort(risks);
-  for (int risk : risks) all.push_back(static_cast<std::uint64_t>(risk));
+std::uint64_t digest_of(std::uint64_t number, const Doc& doc) {
+  std::vector<std::uint64_t> all{number, static_cast<std::uint64_t>(doc.state.transmission_count),
+                                 doc.state.acceptance_confirmed + 2u * doc.state.ended};
+  std::vector<int> transmissions;
+  for (const Transmission& transmission : doc.in_doubt) transmissions.push_back(transmission.number);
+  std::ranges::sort(transmissions);
+  for (int transmission : transmissions) all.push_back(static_cast<std::uint64_t>(transmission));
   return XXH3_64bits(all.data(), all.size() * sizeof all[0]);
 }
 
-class Keeper final : public Custody {
+class LeaseBasedCustody final : public Custody {
  public:
-  Keeper(const Roster& roster, MemberId self, Incarnation own, const CustodySettings& settings,
-         std::uint64_t seed)
+  LeaseBasedCustody(const Roster& roster, MemberId self, Incarnation own, const CustodySettings& settings,
+                    std::uint64_t seed)
       : self_{self, own},
-        set_(settings),
-        chance_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {
-    // The next on the ring of members, those of another hall first.
+        settings_(settings),
+        random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {
+    // The next members on the ring, those of another zone first.
     auto own_at = std::ranges::find(roster, self, &Member::id);
-    for (bool other_hall : {true, false})
+    for (bool other_zone : {true, false})
       for (std::size_t step = 1; step < roster.size(); ++step) {
         auto at = (static_cast<std::size_t>(own_at - roster.begin()) + step) % roster.size();
-        if ((roster[at].zone != own_at->zone) == other_hall) ring_.push_back(roster[at].id);
+        if ((roster[at].zone != own_at->zone) == other_zone) placement_order_.push_back(roster[at].id);
       }
-    for (const auto& member : roster) names_[member.id] = member.name;
-    current_ = {self, own.number};
+    for (const auto& member : roster) member_names_[member.id] = member.name;
+    current_group_ = {self, own.number};
   }
 
   void begin_turn(Millis now) override {
@@ -173,1167 +185,1306 @@
     if (started_ < 0) started_ = now_;
   }
 
-  void restore_group(const PersistentGroupState& note) override {
-    Group& g = groups_[note.group];
-    g.id = note.group, g.voted = note.voted_term, g.views = note.configurations,
-    g.highest = note.highest_document;
-    g.role = note.is_owner ? Role::returning : Role::former;
-    g.asks_since = now_;
-    if (note.group.origin == self_.member && note.group.number >= current_.number)
-      current_.number = note.group.number + 1;
-  }
-  void add_past_incarnation(Incarnation life) override { lived_.insert(life); }
+  void restore_group(const PersistentGroupState& state) override {
+    Group& group = groups_[state.group];
+    group.id = state.group, group.voted_term = state.voted_term, group.configurations = state.configurations,
+    group.highest_document = state.highest_document;
+    group.role = state.is_owner ? Role::recovering : Role::inactive;
+    group.recovery_started_at = now_;
+    if (state.group.origin == self_.member && state.group.number >= current_group_.number)
+      current_group_.number = state.group.number + 1;
+  }
+  void add_past_incarnation(Incarnation incarnation) override { past_incarnations_.insert(incarnation); }
 
-  void on_member_change(MemberId member, Incarnation life, MemberState condition) override {
-    known_[member] = {life, condition};
+  void on_member_change(MemberId member, Incarnation incarnation, MemberState state) override {
+    members_[member] = {incarnation, state};
   }
   void on_link_change(MemberId peer, bool up) override {
-    for (auto& [id, g] : groups_)
-      for (auto& [seat, progress] : g.progress)
-        if (seat.member == peer) progress.start_over(g.log_end);
+    for (auto& [id, group] : groups_)
+      for (auto& [instance, progress] : group.progress)
+        if (instance.member == peer) progress.reset(group.last_index);
     if (up)
-      for (auto& [id, g] : groups_) g.beat_at = now_, g.asked_at = std::min(g.asked_at, now_ - beat());
+      for (auto& [id, group] : groups_)
+        group.next_heartbeat_at = now_,
+        group.votes_requested_at = std::min(group.votes_requested_at, now_ - heartbeat_interval());
   }
   void leave() override { leaving_ = true; }
-  void set_has_capacity(bool any) override { room_ = any; }
+  void set_has_capacity(bool has_capacity) override { has_capacity_ = has_capacity; }
 
-  void on_message(MemberId from, const CustodyMessage& m) override {
-    if (m.sender.member != from || from == self_.member) return;
-    switch (m.kind) {
-      case Kind::propose_configuration: return proposed(m);
-      case Kind::renew_lease: return renew(m);
-      case Kind::append_entries: return stream(m);
-      case Kind::range_digests: return digests(m);
-      case Kind::range_documents: return part(m);
-      case Kind::request_vote: return asked(m);
-      case Kind::vote: return vote(m);
-      case Kind::inventory: return inventory(m);
-      case Kind::refused: return refused(m);
-      case Kind::configuration_accepted:
-      case Kind::lease_renewed:
-      case Kind::entries_acknowledged:
-      case Kind::request_ranges: return answer(m);
+  void on_message(MemberId from, const CustodyMessage& message) override {
+    if (message.sender.member != from || from == self_.member) return;
+    switch (message.kind) {
+      case MessageKind::propose_configuration: return on_propose_configuration(message);
+      case MessageKind::renew_lease: return on_renew_lease(message);
+      case MessageKind::append_entries: return on_append_entries(message);
+      case MessageKind::range_digests: return on_range_digests(message);
+      case MessageKind::range_documents: return on_range_documents(message);
+      case MessageKind::request_vote: return on_request_vote(message);
+      case MessageKind::vote: return on_vote(message);
+      case MessageKind::inventory: return on_inventory(message);
+      case MessageKind::refused: return on_refused(message);
+      case MessageKind::configuration_accepted:
+      case MessageKind::lease_renewed:
+      case MessageKind::entries_acknowledged:
+      case MessageKind::request_ranges: return on_replica_reply(message);
     }
   }
 
   GlobalDocId next_document_id(std::uint64_t number) override {
-    return {current_.origin, current_.number, number};
+    return {current_group_.origin, current_group_.number, number};
   }
 
-  void accept(const DocumentState& papers) override {
-    Group& g = own_group(papers.id.group());
-    Doc& doc = hold(g, papers);
-    doc.answered = !set_.wait_for_replica, doc.papers.acceptance_confirmed = doc.answered;
-    doc.paper_event = log(g, {EventKind::document, papers.id.document_number, {}});
-    if (doc.answered) return;
-    doc.copied_by = now_ + set_.replication_timeout;
-    g.to_answer.emplace_back(doc.paper_event, papers.id.document_number);
+  void accept(const DocumentState& document) override {
+    Group& group = get_or_create_owned_group(document.id.group());
+    Doc& doc = put_document(group, document);
+    doc.accepted = !settings_.wait_for_replica, doc.state.acceptance_confirmed = doc.accepted;
+    doc.document_index = append(group, {EntryKind::document, document.id.document_number, {}});
+    if (doc.accepted) return;
+    doc.replication_deadline = now_ + settings_.replication_timeout;
+    group.awaiting_replication.emplace_back(doc.document_index, document.id.document_number);
   }
 
-  void restore_document(const DocumentState& papers, std::uint64_t highest) override {
-    auto id = papers.id.group();
-    bool known = groups_.count(id) > 0;
-    Group& g = own_group(id);
-    // Without a note nothing of the group was ever proposed, or the note is damaged: the others are asked.
-    if (!known && id != current_) g.role = Role::returning, g.asks_since = now_;
-    if (g.role == Role::former || g.role == Role::holder) {
-      // Killed after it was known who took over, before the document was let go.
-      if (id.origin != self_.member || papers.id.document_number <= g.highest)
-        return done_.relinquished.push_back(papers.id);
-      DocumentState mine = papers;
-      mine.id = next_document_id(papers.id.document_number);
-      done_.renumbered.emplace_back(papers.id, mine.id);
-      return restore_document(mine, highest);
+  void restore_document(const DocumentState& document, std::uint64_t highest_number) override {
+    auto group_id = document.id.group();
+    bool known = groups_.count(group_id) > 0;
+    Group& group = get_or_create_owned_group(group_id);
+    // Without stored state the group was never proposed to others, or the state is damaged: the others are
+    // asked.
+    if (!known && group_id != current_group_) group.role = Role::recovering, group.recovery_started_at = now_;
+    if (group.role == Role::inactive || group.role == Role::replica) {
+      // The process was killed after it had learned of the takeover and before it released the document.
+      if (group_id.origin != self_.member || document.id.document_number <= group.highest_document)
+        return actions_.relinquished.push_back(document.id);
+      DocumentState renumbered = document;
+      renumbered.id = next_document_id(document.id.document_number);
+      actions_.renumbered.emplace_back(document.id, renumbered.id);
+      return restore_document(renumbered, highest_number);
     }
-    hold(g, papers).papers.acceptance_confirmed = true;
-    // Of a group that was taken over here nobody adds documents: its note tells the highest.
-    if (g.id.origin == self_.member) g.highest = std::max(g.highest, highest);
-    if (g.role == Role::owner) g.acted = false;
+    put_document(group, document).state.acceptance_confirmed = true;
+    // Nobody adds documents to a group taken over from another relay: its stored state has the highest
+    // number.
+    if (group.id.origin == self_.member)
+      group.highest_document = std::max(group.highest_document, highest_number);
+    if (group.role == Role::owner) group.is_active = false;
   }
 
-  void record_transmission(const GlobalDocId& deed, int transmission, ZoneId hall) override {
-    auto [g, doc] = own(deed);
+  void record_transmission(const GlobalDocId& id, int transmission, ZoneId zone) override {
+    auto [group, doc] = find_owned(id);
     if (!doc) return;
-    doc->papers.transmission_count = std::max(doc->papers.transmission_count, transmission + 1);
-    Risk risk{transmission, now_, hall, 0};
-    risk.event = log(*g, {EventKind::transmission_started, deed.document_number, risk});
-    doc->risks.push_back(risk);
-    if (!acts(*g) || !goes(*g, *doc, transmission)) g->to_go.emplace_back(deed.document_number, transmission);
-  }
-  void record_never_ran(const GlobalDocId& deed, int transmission) override {
-    auto [g, doc] = own(deed);
+    doc->state.transmission_count = std::max(doc->state.transmission_count, transmission + 1);
+    Transmission started{transmission, now_, zone, 0};
+    started.log_index = append(*group, {EntryKind::transmission_started, id.document_number, started});
+    doc->in_doubt.push_back(started);
+    if (!has_lease(*group) || !is_safe_to_send(*group, *doc, transmission))
+      group->held_transmissions.emplace_back(id.document_number, transmission);
+  }
+  void record_never_ran(const GlobalDocId& id, int transmission) override {
+    auto [group, doc] = find_owned(id);
     if (!doc) return;
-    std::erase_if(doc->risks, [&](const Risk& risk) { return risk.transmission == transmission; });
-    log(*g, {EventKind::transmission_never_ran, deed.document_number, {transmission, 0, {}, 0}});
-  }
-  void record_ended(const GlobalDocId& deed, const std::string& record) override {
-    auto [g, doc] = own(deed);
-    if (!doc || doc->papers.ended) return;
-    g->bytes -= doc->bytes();
-    doc->papers.record = record, doc->papers.ended = true;
-    g->bytes += doc->bytes();
-    doc->end_event = log(*g, {EventKind::document, deed.document_number, {}});
-    if (!may_report_end(deed)) g->to_tell.emplace_back(doc->end_event, deed.document_number);
-  }
-  void remove(const GlobalDocId& deed) override {
-    auto [g, doc] = own(deed);
+    std::erase_if(doc->in_doubt, [&](const Transmission& other) { return other.number == transmission; });
+    append(*group, {EntryKind::transmission_never_ran, id.document_number, {transmission, 0, {}, 0}});
+  }
+  void record_ended(const GlobalDocId& id, const std::string& record) override {
+    auto [group, doc] = find_owned(id);
+    if (!doc || doc->state.ended) return;
+    group->bytes -= doc->bytes();
+    doc->state.record = record, doc->state.ended = true;
+    group->bytes += doc->bytes();
+    doc->end_index = append(*group, {EntryKind::document, id.document_number, {}});
+    if (!may_report_end(id)) group->held_ends.emplace_back(doc->end_index, id.document_number);
+  }
+  void remove(const GlobalDocId& id) override {
+    auto [group, doc] = find_owned(id);
     if (!doc) return;
-    drop(*g, deed.document_number);
-    log(*g, {EventKind::removed, deed.document_number, {}});
+    erase_document(*group, id.document_number);
+    append(*group, {EntryKind::removed, id.document_number, {}});
   }
 
-  bool owns(const GlobalDocId& deed) const override {
-    auto found = groups_.find(deed.group());
-    return found != groups_.end() && found->second.acted && acts(found->second) &&
-           found->second.docs.count(deed.document_number) > 0;
+  bool owns(const GlobalDocId& id) const override {
+    auto found = groups_.find(id.group());
+    return found != groups_.end() && found->second.is_active && has_lease(found->second) &&
+           found->second.docs.count(id.document_number) > 0;
   }
-  bool is_accepted(const GlobalDocId& deed) const override {
-    auto doc = find(deed);
-    return doc && doc->answered;
+  bool is_accepted(const GlobalDocId& id) const override {
+    auto doc = find_document(id);
+    return doc && doc->accepted;
   }
-  bool may_send(const GlobalDocId& deed, int transmission) const override {
-    auto doc = find(deed);
-    return doc && owns(deed) && goes(groups_.at(deed.group()), *doc, transmission);
+  bool may_send(const GlobalDocId& id, int transmission) const override {
+    auto doc = find_document(id);
+    return doc && owns(id) && is_safe_to_send(groups_.at(id.group()), *doc, transmission);
   }
-  bool may_report_end(const GlobalDocId& deed) const override {
-    auto doc = find(deed);
-    return doc && owns(deed) && doc->papers.ended && doc->end_event <= proven(groups_.at(deed.group()));
+  bool may_report_end(const GlobalDocId& id) const override {
+    auto doc = find_document(id);
+    return doc && owns(id) && doc->state.ended && doc->end_index <= committed_index(groups_.at(id.group()));
   }
   bool holds_lease() const override {
-    auto found = groups_.find(current_);
-    return found == groups_.end() || acts(found->second);
+    auto found = groups_.find(current_group_);
+    return found == groups_.end() || has_lease(found->second);
   }
   Statistics statistics() const override {
-    Statistics all = count_;
-    for (const auto& [id, g] : groups_) {
-      all.groups += g.role != Role::former;
-      (g.role == Role::holder ? all.replicated_documents : all.owned_documents) += g.docs.size();
+    Statistics all = statistics_;
+    for (const auto& [id, group] : groups_) {
+      all.groups += group.role != Role::inactive;
+      (group.role == Role::replica ? all.replicated_documents : all.owned_documents) += group.docs.size();
     }
-    all.replicated_bytes = copies_bytes();
+    all.replicated_bytes = replicated_bytes();
     return all;
   }
 
   Actions decide() override {
-    own_group(current_);
-    // From the first rule anew after each that fired: what is told to the host comes last, when all else is
-    // settled.
+    get_or_create_owned_group(current_group_);
+    // Restarts from the first rule after each one that fired, so that what the host is told is decided last.
     for (bool fired = true; fired;) {
       fired = false;
       for (const auto& rule : rules) {
-        for (auto& [id, g] : groups_)
-          if ((this->*rule.when)(g)) (this->*rule.then)(g), fired = true;
+        for (auto& [id, group] : groups_)
+          if ((this->*rule.when)(group)) (this->*rule.then)(group), fired = true;
         if (fired) break;
       }
     }
-    forget();
-    done_.wake_in = next_due();
-    return std::exchange(done_, {});
+    prune_idle_groups();
+    actions_.wake_in = next_wake_in();
+    return std::exchange(actions_, {});
   }
 
  private:
-  Millis beat() const { return set_.lease_duration / beats_a_lease; }
-  double drawn(double low, double high) { return std::uniform_real_distribution<double>(low, high)(chance_); }
-  const std::string& name(MemberId member) const {
+  Millis heartbeat_interval() const { return settings_.lease_duration / heartbeats_per_lease; }
+  double random_between(double low, double high) {
+    return std::uniform_real_distribution<double>(low, high)(random_);
+  }
+  const std::string& name_of(MemberId member) const {
     static const std::string nobody = "nobody";
-    auto found = names_.find(member);
-    return found == names_.end() ? nobody : found->second;
+    auto found = member_names_.find(member);
+    return found == member_names_.end() ? nobody : found->second;
   }
-  void say(const char* what, const Group& g, MemberId other, std::uint64_t number) {
+  void log_event(const char* what, const Group& group, MemberId other, std::uint64_t number) {
     char line[110];
     std::snprintf(line, sizeof line, "documents: %s, group %.20s %llu, %.20s: %llu", what,
-                  name(g.id.origin).c_str(), static_cast<unsigned long long>(g.id.number),
-                  name(other).c_str(), static_cast<unsigned long long>(number));
-    done_.log_lines.push_back(line);
+                  name_of(group.id.origin).c_str(), static_cast<unsigned long long>(group.id.number),
+                  name_of(other).c_str(), static_cast<unsigned long long>(number));
+    actions_.log_lines.push_back(line);
   }
-  bool lives(const RelayInstance& seat) const {
-    auto found = known_.find(seat.member);
-    return found != known_.end() && found->second.first == seat.incarnation && is_up(found->second.second);
+  bool is_alive(const RelayInstance& instance) const {
+    auto found = members_.find(instance.member);
+    return found != members_.end() && found->second.first == instance.incarnation &&
+           is_alive_or_suspect(found->second.second);
   }
-  static bool is_up(MemberState condition) {
-    return condition == MemberState::alive || condition == MemberState::suspect;
+  static bool is_alive_or_suspect(MemberState state) {
+    return state == MemberState::alive || state == MemberState::suspect;
   }
-  RelayInstance present(MemberId member) const {  // filled: it lives
-    auto found = known_.find(member);
-    if (found == known_.end() || !is_up(found->second.second)) return {};
+  RelayInstance live_instance_of(MemberId member) const {  // invalid unless the member is alive
+    auto found = members_.find(member);
+    if (found == members_.end() || !is_alive_or_suspect(found->second.second)) return {};
     return {member, found->second.first};
   }
 
   // Documents.
-  Group& own_group(GroupId id) {
-    Group& g = groups_[id];
-    if (!g.views.empty()) return g;
-    g.id = id, g.role = Role::owner, g.led_at = now_, g.acted = true;
-    g.views = {Configuration{{1, self_.member}, 0, self_, {}}};
-    g.voted = g.term();
-    return g;
-  }
-  Doc& hold(Group& g, const DocumentState& papers) {
-    drop(g, papers.id.document_number);
-    Doc& doc = g.docs[papers.id.document_number];
-    doc.papers = papers, doc.papers.in_doubt.clear();
-    doc.expiry = now_ + papers.time_left;
-    for (const auto& risk : papers.in_doubt)
-      doc.risks.push_back({risk.number, now_ - risk.age, risk.zone, 0});
-    g.bytes += doc.bytes(), g.highest = std::max(g.highest, papers.id.document_number);
+  Group& get_or_create_owned_group(GroupId id) {
+    Group& group = groups_[id];
+    if (!group.configurations.empty()) return group;
+    group.id = id, group.role = Role::owner, group.last_lease_at = now_, group.is_active = true;
+    group.configurations = {Configuration{{1, self_.member}, 0, self_, {}}};
+    group.voted_term = group.term();
+    return group;
+  }
+  Doc& put_document(Group& group, const DocumentState& document) {
+    erase_document(group, document.id.document_number);
+    Doc& doc = group.docs[document.id.document_number];
+    doc.state = document, doc.state.in_doubt.clear();
+    doc.expiry = now_ + document.time_left;
+    for (const auto& transmission : document.in_doubt)
+      doc.in_doubt.push_back({transmission.number, now_ - transmission.age, transmission.zone, 0});
+    group.bytes += doc.bytes(),
+        group.highest_document = std::max(group.highest_document, document.id.document_number);
     return doc;
   }
-  void drop(Group& g, std::uint64_t number) {
-    auto found = g.docs.find(number);
-    if (found == g.docs.end()) return;
-    g.bytes -= found->second.bytes();
-    g.docs.erase(found);
-  }
-  DocumentState papers_of(const Doc& doc) const {
-    DocumentState papers = doc.papers;
-    papers.time_left = doc.expiry - now_;
-    for (const Risk& risk : doc.risks)
-      papers.in_doubt.push_back({risk.transmission, now_ - risk.at, risk.hall});
-    return papers;
-  }
-  std::pair<Group*, Doc*> own(const GlobalDocId& deed) {
-    auto found = groups_.find(deed.group());
+  void erase_document(Group& group, std::uint64_t number) {
+    auto found = group.docs.find(number);
+    if (found == group.docs.end()) return;
+    group.bytes -= found->second.bytes();
+    group.docs.erase(found);
+  }
+  DocumentState state_of(const Doc& doc) const {
+    DocumentState state = doc.state;
+    state.time_left = doc.expiry - now_;
+    for (const Transmission& transmission : doc.in_doubt)
+      state.in_doubt.push_back({transmission.number, now_ - transmission.started_at, transmission.zone});
+    return state;
+  }
+  std::pair<Group*, Doc*> find_owned(const GlobalDocId& id) {
+    auto found = groups_.find(id.group());
     if (found == groups_.end() || found->second.role != Role::owner) return {};
-    auto doc = found->second.docs.find(deed.document_number);
+    auto doc = found->second.docs.find(id.document_number);
     if (doc == found->second.docs.end()) return {};
     return {&found->second, &doc->second};
   }
-  const Doc* find(const GlobalDocId& deed) const {
-    auto found = groups_.find(deed.group());
+  const Doc* find_document(const GlobalDocId& id) const {
+    auto found = groups_.find(id.group());
     if (found == groups_.end()) return nullptr;
-    auto doc = found->second.docs.find(deed.document_number);
+    auto doc = found->second.docs.find(id.document_number);
     return doc == found->second.docs.end() ? nullptr : &doc->second;
   }
-  static GlobalDocId deed_of(const Group& g, std::uint64_t number) {
-    return {g.id.origin, g.id.number, number};
+  static GlobalDocId id_of(const Group& group, std::uint64_t number) {
+    return {group.id.origin, group.id.number, number};
   }
-  std::size_t copies_bytes() const {
+  std::size_t replicated_bytes() const {
     std::size_t all = 0;
-    for (const auto& [id, g] : groups_) all += g.role == Role::holder ? g.bytes : 0;
+    for (const auto& [id, group] : groups_) all += group.role == Role::replica ? group.bytes : 0;
     return all;
   }
-  std::uint64_t log(Group& g, Entry entry) {
-    g.log.push_back(entry);
-    if (g.log.size() > log_most) g.log.pop_front();
-    return ++g.log_end;
+  std::uint64_t append(Group& group, LogEntry entry) {
+    group.log.push_back(entry);
+    if (group.log.size() > max_log_entries) group.log.pop_front();
+    return ++group.last_index;
   }
 
-  // Safety: of each view that may count, a holder answered a renewal that was sent less than a lease ago. It
-  // counts its promise from when the renewal came, and longer by the drift: it ends after this does.
-  Millis lease_until(const Group& g) const {
+  // Safety: in each configuration in force, a replica has answered a renewal that was sent less than a lease
+  // ago. The replica counts its grant from the arrival of the renewal and extends it by the clock drift, so
+  // the grant ends after the lease.
+  Millis lease_until(const Group& group) const {
     Millis until = never;
-    for (const Configuration& view : g.views) {
-      if (!binds(view)) continue;
+    for (const Configuration& configuration : group.configurations) {
+      if (!requires_lease(configuration)) continue;
       Millis best = -never;
-      for (const RelayInstance& seat : view.replicas)
-        if (auto found = g.progress.find(seat); found != g.progress.end())
-          best = std::max(best, found->second.lease_from + set_.lease_duration);
+      for (const RelayInstance& instance : configuration.replicas)
+        if (auto found = group.progress.find(instance); found != group.progress.end())
+          best = std::max(best, found->second.lease_start + settings_.lease_duration);
       until = std::min(until, best);
     }
     return until;
   }
-  bool acts(const Group& g) const { return g.role == Role::owner && now_ < lease_until(g); }
+  bool has_lease(const Group& group) const { return group.role == Role::owner && now_ < lease_until(group); }
 
-  std::uint64_t noted(const Group& g, const Configuration& view) const {
+  std::uint64_t match_index(const Group& group, const Configuration& configuration) const {
     std::uint64_t best = 0;
-    for (const RelayInstance& seat : view.replicas)
-      if (auto found = g.progress.find(seat); found != g.progress.end() && found->second.whole)
-        best = std::max(best, found->second.noted);
+    for (const RelayInstance& instance : configuration.replicas)
+      if (auto found = group.progress.find(instance); found != group.progress.end() && found->second.in_sync)
+        best = std::max(best, found->second.match_index);
     return best;
   }
-  // Up to which entry of the log a copy has it, in each view that may count.
-  std::uint64_t copied(const Group& g) const {
+  // The index up to which each configuration in force has a replica with all entries.
+  std::uint64_t replicated_index(const Group& group) const {
     std::uint64_t all = UINT64_MAX;
-    for (const Configuration& view : g.views) all = std::min(all, noted(g, view));
+    for (const Configuration& configuration : group.configurations)
+      all = std::min(all, match_index(group, configuration));
     return all;
   }
-  // Safety: up to which entry whoever may be elected surely has it. Nobody can be where two holders lack.
-  std::uint64_t proven(const Group& g) const {
+  // Safety: the index up to which any member that may be elected certainly has all entries. Where a
+  // configuration has fewer than two replicas, nobody else can be elected.
+  std::uint64_t committed_index(const Group& group) const {
     std::uint64_t all = UINT64_MAX;
-    for (const Configuration& view : g.views)
-      if (binds(view)) all = std::min(all, noted(g, view));
+    for (const Configuration& configuration : group.configurations)
+      if (requires_lease(configuration)) all = std::min(all, match_index(group, configuration));
     return all;
   }
-  // Before it is answered nothing goes, so that one told to come again was surely never sent.
-  bool goes(const Group& g, const Doc& doc, int transmission) const {
-    if (!doc.answered) return false;
-    if (!doc.papers.replicate_before_send) return true;
-    auto risk = std::ranges::find(doc.risks, transmission, &Risk::transmission);
-    return risk != doc.risks.end() && risk->event <= proven(g);
+  // Nothing is sent before the document is accepted, so a document whose client was told to retry was
+  // certainly never sent.
+  bool is_safe_to_send(const Group& group, const Doc& doc, int transmission) const {
+    if (!doc.accepted) return false;
+    if (!doc.state.replicate_before_send) return true;
+    auto found = std::ranges::find(doc.in_doubt, transmission, &Transmission::number);
+    return found != doc.in_doubt.end() && found->log_index <= committed_index(group);
   }
 
   // Messages.
-  CustodyMessage message(Kind kind, const Group& g) const {
-    CustodyMessage m;
-    m.kind = kind, m.group = g.id, m.sender = self_, m.term = g.term(), m.highest_document = g.highest;
-    return m;
-  }
-  void send(MemberId to, CustodyMessage message) { done_.sends.push_back({to, std::move(message)}); }
-  void refuse(const CustodyMessage& m, const Group& g) {
-    auto no = message(Kind::refused, g);
-    if (!g.views.empty()) no.configuration = g.view();
-    no.term = g.voted;
-    send(m.sender.member, std::move(no));
-  }
-  void note(const Group& g) {
-    PersistentGroupState note{g.id,      g.voted, g.views, g.role == Role::owner || g.role == Role::returning,
-                              g.highest, false};
-    std::erase_if(done_.states_to_persist, [&](const auto& other) { return other.group == g.id; });
-    done_.states_to_persist.push_back(std::move(note));
+  CustodyMessage make_message(MessageKind kind, const Group& group) const {
+    CustodyMessage message;
+    message.kind = kind, message.group = group.id, message.sender = self_, message.term = group.term(),
+    message.highest_document = group.highest_document;
+    return message;
+  }
+  void send(MemberId to, CustodyMessage message) { actions_.sends.push_back({to, std::move(message)}); }
+  void refuse(const CustodyMessage& message, const Group& group) {
+    auto refusal = make_message(MessageKind::refused, group);
+    if (!group.configurations.empty()) refusal.configuration = group.configuration();
+    refusal.term = group.voted_term;
+    send(message.sender.member, std::move(refusal));
+  }
+  void persist(const Group& group) {
+    PersistentGroupState state{group.id,
+                               group.voted_term,
+                               group.configurations,
+                               group.role == Role::owner || group.role == Role::recovering,
+                               group.highest_document,
+                               false};
+    std::erase_if(actions_.states_to_persist, [&](const auto& other) { return other.group == group.id; });
+    actions_.states_to_persist.push_back(std::move(state));
   }
 
-  // Of an owner, as a holder.
-  void proposed(const CustodyMessage& m) {
-    const Configuration& view = m.configuration;
-    if (m.sender != view.owner || view.replicas.size() > 2) return;
-    auto found = groups_.find(m.group);
-    bool seated = sits(view, self_);
-    if (found == groups_.end() && !seated) return;
-    Group& g = groups_[m.group];
-    g.id = m.group;
-    // Safety: who has voted for a later term, or knows a newer view, is nobody's holder of an older one.
-    if (view.term < g.voted || (!g.views.empty() && g.view().newer_than(view))) return refuse(m, g);
-    if (view.owner == self_) return;
-    bool fresh = g.views.empty() || view.newer_than(g.view());
-    if (fresh) {
-      if (g.role == Role::owner || g.role == Role::returning) deposed(g, view, m.highest_document);
-      bool same = !g.views.empty() && g.view().owner == view.owner && g.role == Role::holder;
-      if (!same) g.whole = false;
-      g.views = {view}, g.voted = view.term, g.asking = false;
-      if (same && g.whole) g.position.term = view.term;
-      if (!same) g.highest = m.highest_document;
-      if (!seated) {
-        release(g);
-      } else g.role = Role::holder;
+  // As a replica: messages from the owner.
+  void on_propose_configuration(const CustodyMessage& message) {
+    const Configuration& configuration = message.configuration;
+    if (message.sender != configuration.owner || configuration.replicas.size() > 2) return;
+    auto found = groups_.find(message.group);
+    bool is_member = includes(configuration, self_);
+    if (found == groups_.end() && !is_member) return;
+    Group& group = groups_[message.group];
+    group.id = message.group;
+    // Safety: a member that voted in a later term, or knows a newer configuration, does not serve as a
+    // replica in an older one.
+    if (configuration.term < group.voted_term ||
+        (!group.configurations.empty() && group.configuration().newer_than(configuration)))
+      return refuse(message, group);
+    if (configuration.owner == self_) return;
+    bool is_newer = group.configurations.empty() || configuration.newer_than(group.configuration());
+    if (is_newer) {
+      if (group.role == Role::owner || group.role == Role::recovering)
+        step_down(group, configuration, message.highest_document);
+      bool same_owner = !group.configurations.empty() && group.configuration().owner == configuration.owner &&
+                        group.role == Role::replica;
+      if (!same_owner) group.in_sync = false;
+      group.configurations = {configuration}, group.voted_term = configuration.term,
+      group.is_candidate = false;
+      if (same_owner && group.in_sync) group.log_position.term = configuration.term;
+      if (!same_owner) group.highest_document = message.highest_document;
+      if (!is_member) {
+        become_inactive(group);
+      } else group.role = Role::replica;
     }
-    if (seated) give(g, view.owner);
-    auto yes = message(Kind::configuration_accepted, g);
-    yes.configuration.revision = view.revision, yes.number = m.number, yes.in_sync = g.whole,
-    yes.position.index = g.cursor;
-    send(m.sender.member, std::move(yes));
-  }
-  static void release(Group& g) {
-    g.docs.clear(), g.bytes = 0;
-    g.role = Role::former, g.position = {}, g.whole = g.asking = false;
-  }
-  void give(Group& g, const RelayInstance& owner) {
-    g.given_to = owner, g.given_until = now_ + set_.lease_duration * (1 + set_.max_clock_drift),
-    g.made_way = false;
-    g.try_at = g.given_until + patience * set_.lease_duration * drawn(1, 2), g.asking = false;
-  }
-  // Whether this relay is the sender's holder, in its view.
-  Group* holds_for(const CustodyMessage& m) {
-    auto found = groups_.find(m.group);
+    if (is_member) grant_lease(group, configuration.owner);
+    auto reply = make_message(MessageKind::configuration_accepted, group);
+    reply.configuration.revision = configuration.revision, reply.number = message.number,
+    reply.in_sync = group.in_sync, reply.position.index = group.applied_index;
+    send(message.sender.member, std::move(reply));
+  }
+  static void become_inactive(Group& group) {
+    group.docs.clear(), group.bytes = 0;
+    group.role = Role::inactive, group.log_position = {}, group.in_sync = group.is_candidate = false;
+  }
+  void grant_lease(Group& group, const RelayInstance& owner) {
+    group.lease_granted_to = owner,
+    group.lease_granted_until = now_ + settings_.lease_duration * (1 + settings_.max_clock_drift),
+    group.yielded = false;
+    group.next_election_at =
+        group.lease_granted_until + election_delay_leases * settings_.lease_duration * random_between(1, 2),
+    group.is_candidate = false;
+  }
+  // The sender's group if this relay is a replica in the sender's term; otherwise refuses.
+  Group* find_replica_of(const CustodyMessage& message) {
+    auto found = groups_.find(message.group);
     if (found == groups_.end()) return nullptr;
-    Group& g = found->second;
-    if (g.role == Role::holder && g.view().owner == m.sender && g.term() == m.term && g.voted == m.term)
-      return &g;
-    if (!g.views.empty()) refuse(m, g);
+    Group& group = found->second;
+    if (group.role == Role::replica && group.configuration().owner == message.sender &&
+        group.term() == message.term && group.voted_term == message.term)
+      return &group;
+    if (!group.configurations.empty()) refuse(message, group);
     return nullptr;
   }
-  void renew(const CustodyMessage& m) {
-    Group* g = holds_for(m);
-    if (!g) return;
-    give(*g, m.sender);
-    auto yes = message(Kind::lease_renewed, *g);
-    yes.number = m.number, yes.yes = leaving_;
-    send(m.sender.member, std::move(yes));
-  }
-  void stream(const CustodyMessage& m) {
-    Group* g = holds_for(m);
-    if (!g || m.number == 0) return;
-    auto number = m.number - 1;
-    for (const auto& event : m.entries) {
-      ++number;
-      // One not whole takes what comes: what it lacks is found by the next digests.
-      if (g->whole && number != g->cursor + 1) {
-        if (number <= g->cursor) continue;
+  void on_renew_lease(const CustodyMessage& message) {
+    Group* group = find_replica_of(message);
+    if (!group) return;
+    grant_lease(*group, message.sender);
+    auto reply = make_message(MessageKind::lease_renewed, *group);
+    reply.number = message.number, reply.yes = leaving_;
+    send(message.sender.member, std::move(reply));
+  }
+  void on_append_entries(const CustodyMessage& message) {
+    Group* group = find_replica_of(message);
+    if (!group || message.number == 0) return;
+    auto index = message.number - 1;
+    for (const auto& entry : message.entries) {
+      ++index;
+      // A replica that is not in sync applies whatever arrives: the next digests find what it lacks.
+      if (group->in_sync && index != group->applied_index + 1) {
+        if (index <= group->applied_index) continue;
         break;
       }
-      // Guards against an owner that fills this relay's memory: it is told no further, and goes elsewhere.
-      if (event.kind == EventKind::document && !event.documents.empty() &&
-          copies_bytes() + event.documents.front().record.size() > copies_bytes_most) {
-        g->whole = false;
+      // Keeps an owner from filling this relay's memory: the replica falls out of sync and acknowledges no
+      // further, so the owner depends on its other replica.
+      if (entry.kind == EntryKind::document && !entry.documents.empty() &&
+          replicated_bytes() + entry.documents.front().record.size() > max_replicated_bytes) {
+        group->in_sync = false;
         break;
       }
-      apply(*g, event);
-      g->cursor = number;
+      apply(*group, entry);
+      group->applied_index = index;
     }
-    note_back(*g, m);
-  }
-  void note_back(Group& g, const CustodyMessage& m) {
-    if (g.whole) g.position = {g.term(), g.cursor};
-    auto yes = message(Kind::entries_acknowledged, g);
-    yes.number = g.cursor, yes.in_sync = g.whole;
-    send(m.sender.member, std::move(yes));
-  }
-  void apply(Group& g, const WireLogEntry& event) {
-    if (event.kind == EventKind::document) {
-      if (!event.documents.empty() && event.documents.front().id == deed_of(g, event.document_number))
-        hold(g, event.documents.front());
+    acknowledge(*group, message);
+  }
+  void acknowledge(Group& group, const CustodyMessage& message) {
+    if (group.in_sync) group.log_position = {group.term(), group.applied_index};
+    auto reply = make_message(MessageKind::entries_acknowledged, group);
+    reply.number = group.applied_index, reply.in_sync = group.in_sync;
+    send(message.sender.member, std::move(reply));
+  }
+  void apply(Group& group, const WireLogEntry& entry) {
+    if (entry.kind == EntryKind::document) {
+      if (!entry.documents.empty() && entry.documents.front().id == id_of(group, entry.document_number))
+        put_document(group, entry.documents.front());
       return;
     }
-    if (event.kind == EventKind::removed) return drop(g, event.document_number);
-    auto found = g.docs.find(event.document_number);
-    if (found == g.docs.end()) return;
+    if (entry.kind == EntryKind::removed) return erase_document(group, entry.document_number);
+    auto found = group.docs.find(entry.document_number);
+    if (found == group.docs.end()) return;
     Doc& doc = found->second;
-    std::erase_if(doc.risks, [&](const Risk& risk) {
-      return event.kind != EventKind::acceptance_confirmed && risk.transmission == event.transmission.number;
+    std::erase_if(doc.in_doubt, [&](const Transmission& transmission) {
+      return entry.kind != EntryKind::acceptance_confirmed &&
+             transmission.number == entry.transmission.number;
     });
-    if (event.kind == EventKind::acceptance_confirmed) doc.papers.acceptance_confirmed = true;
-    if (event.kind == EventKind::transmission_started) {
-      doc.risks.push_back(
-          {event.transmission.number, now_ - event.transmission.age, event.transmission.zone, 0});
-      doc.papers.transmission_count = std::max(doc.papers.transmission_count, event.transmission.number + 1);
+    if (entry.kind == EntryKind::acceptance_confirmed) doc.state.acceptance_confirmed = true;
+    if (entry.kind == EntryKind::transmission_started) {
+      doc.in_doubt.push_back(
+          {entry.transmission.number, now_ - entry.transmission.age, entry.transmission.zone, 0});
+      doc.state.transmission_count = std::max(doc.state.transmission_count, entry.transmission.number + 1);
     }
   }
-  static std::uint64_t sum(const Group& g, const DocumentRange& range) {
+  static std::uint64_t range_digest(const Group& group, const DocumentRange& range) {
     std::uint64_t all = 0;
-    for (auto at = g.docs.lower_bound(range.first); at != g.docs.end() && at->first < range.end; ++at)
-      all += sum_of(at->first, at->second);
+    for (auto at = group.docs.lower_bound(range.first); at != group.docs.end() && at->first < range.end; ++at)
+      all += digest_of(at->first, at->second);
     return all;
   }
-  void digests(const CustodyMessage& m) {
-    Group* g = holds_for(m);
-    if (!g) return;
-    auto wanted = message(Kind::request_ranges, *g);
-    for (const auto& range : m.ranges)
-      if (sum(*g, range) != range.digest) wanted.ranges.push_back(range);
-    g->cursor = m.number;
-    g->whole = wanted.ranges.empty();
-    if (g->whole)
-      return g->aged = false, g->highest = std::max(g->highest, m.highest_document), note_back(*g, m);
-    send(m.sender.member, std::move(wanted));
-  }
-  void part(const CustodyMessage& m) {
-    Group* g = holds_for(m);
-    if (!g || m.ranges.size() != 1) return;
-    const auto& range = m.ranges.front();
+  void on_range_digests(const CustodyMessage& message) {
+    Group* group = find_replica_of(message);
+    if (!group) return;
+    auto request = make_message(MessageKind::request_ranges, *group);
+    for (const auto& range : message.ranges)
+      if (range_digest(*group, range) != range.digest) request.ranges.push_back(range);
+    group->applied_index = message.number;
+    group->in_sync = request.ranges.empty();
+    if (group->in_sync)
+      return group->dropped_expired = false,
+             group->highest_document = std::max(group->highest_document, message.highest_document),
+             acknowledge(*group, message);
+    send(message.sender.member, std::move(request));
+  }
+  void on_range_documents(const CustodyMessage& message) {
+    Group* group = find_replica_of(message);
+    if (!group || message.ranges.size() != 1) return;
+    const auto& range = message.ranges.front();
     std::size_t bytes = 0;
-    for (const auto& papers : m.documents) bytes += papers.record.size() + upkeep_bytes;
-    if (copies_bytes() + bytes > copies_bytes_most) return;
-    for (auto at = g->docs.lower_bound(range.first); at != g->docs.end() && at->first < range.end;)
-      drop(*g, (at++)->first);
-    for (const auto& papers : m.documents)
-      if (papers.id.group() == g->id) hold(*g, papers);
-    auto had = message(Kind::request_ranges, *g);
-    had.yes = true, had.ranges = m.ranges;
-    send(m.sender.member, std::move(had));
+    for (const auto& document : message.documents) bytes += document.record.size() + document_overhead_bytes;
+    if (replicated_bytes() + bytes > max_replicated_bytes) return;
+    for (auto at = group->docs.lower_bound(range.first); at != group->docs.end() && at->first < range.end;)
+      erase_document(*group, (at++)->first);
+    for (const auto& document : message.documents)
+      if (document.id.group() == group->id) put_document(*group, document);
+    auto reply = make_message(MessageKind::request_ranges, *group);
+    reply.yes = true, reply.ranges = message.ranges;
+    send(message.sender.member, std::move(reply));
   }
 
-  // Of a holder, as the owner.
-  void answer(const CustodyMessage& m) {
-    auto found = groups_.find(m.group);
-    if (found == groups_.end() || found->second.role != Role::owner || m.term != found->second.term()) return;
-    Group& g = found->second;
-    auto at = g.progress.find(m.sender);
-    if (at == g.progress.end()) return;
-    Progress& p = at->second;
-    if (m.kind == Kind::configuration_accepted || m.kind == Kind::lease_renewed) {
-      if (auto sent = p.renewals.find(m.number); sent != p.renewals.end()) {
-        p.lease_from = std::max(p.lease_from, sent->second);
-        p.renewals.erase(p.renewals.begin(), std::next(sent));
+  // As the owner: answers from replicas.
+  void on_replica_reply(const CustodyMessage& message) {
+    auto found = groups_.find(message.group);
+    if (found == groups_.end() || found->second.role != Role::owner || message.term != found->second.term())
+      return;
+    Group& group = found->second;
+    auto at = group.progress.find(message.sender);
+    if (at == group.progress.end()) return;
+    Progress& progress = at->second;
+    if (message.kind == MessageKind::configuration_accepted || message.kind == MessageKind::lease_renewed) {
+      if (auto sent = progress.pending_renewals.find(message.number);
+          sent != progress.pending_renewals.end()) {
+        progress.lease_start = std::max(progress.lease_start, sent->second);
+        progress.pending_renewals.erase(progress.pending_renewals.begin(), std::next(sent));
       }
-      if (m.kind == Kind::lease_renewed && m.yes) leavers_.insert(m.sender);
-      if (m.kind == Kind::configuration_accepted) {
-        p.accepted = p.accepted || m.configuration.revision == g.view().revision;
-        if (!m.in_sync && p.whole) p.whole = false, p.start_over(g.log_end);
-        if (m.in_sync && !p.whole && m.position.index <= g.log_end &&
-            m.position.index + g.log.size() >= g.log_end)
-          p.whole = true, p.noted = p.sent = m.position.index;
+      if (message.kind == MessageKind::lease_renewed && message.yes)
+        leaving_instances_.insert(message.sender);
+      if (message.kind == MessageKind::configuration_accepted) {
+        progress.configuration_accepted = progress.configuration_accepted ||
+                                          message.configuration.revision == group.configuration().revision;
+        if (!message.in_sync && progress.in_sync) progress.in_sync = false, progress.reset(group.last_index);
+        if (message.in_sync && !progress.in_sync && message.position.index <= group.last_index &&
+            message.position.index + group.log.size() >= group.last_index)
+          progress.in_sync = true, progress.match_index = progress.sent_index = message.position.index;
       }
-    } else if (m.kind == Kind::entries_acknowledged) {
-      if (m.number > g.log_end) return;
-      if (m.in_sync && !p.whole) {
-        p.whole = true, p.noted = 0, p.todo.clear(), p.parts_out = 0, p.digests_out = false;
-        p.sent = std::max(p.sent, m.number);
-      } else if (!m.in_sync && p.whole) {
-        p.whole = false, p.start_over(g.log_end);  // it had no room, or lost its place
+    } else if (message.kind == MessageKind::entries_acknowledged) {
+      if (message.number > group.last_index) return;
+      if (message.in_sync && !progress.in_sync) {
+        progress.in_sync = true, progress.match_index = 0, progress.pending_ranges.clear(),
+        progress.ranges_in_flight = 0, progress.digests_in_flight = false;
+        progress.sent_index = std::max(progress.sent_index, message.number);
+      } else if (!message.in_sync && progress.in_sync) {
+        // It had no capacity, or lost its position in the log.
+        progress.in_sync = false, progress.reset(group.last_index);
       }
-      p.heard_of(m.number);
-    } else if (m.yes) {
-      p.parts_out -= p.parts_out > 0;
+      progress.acknowledge(message.number);
+    } else if (message.yes) {
+      progress.ranges_in_flight -= progress.ranges_in_flight > 0;
     } else {
-      p.digests_out = false;
-      p.todo.assign(m.ranges.begin(), m.ranges.end());
+      progress.digests_in_flight = false;
+      progress.pending_ranges.assign(message.ranges.begin(), message.ranges.end());
     }
   }
-  void refused(const CustodyMessage& m) {
-    auto found = groups_.find(m.group);
+  void on_refused(const CustodyMessage& message) {
+    auto found = groups_.find(message.group);
     if (found == groups_.end()) return;
-    Group& g = found->second;
-    g.higher = std::max(g.higher, m.term);
-    if (!g.views.empty() && !m.configuration.owner.is_valid()) return;
-    learn(g, m.configuration, m.highest_document);
-  }
-  // A view that another member knows, newer than what is known here.
-  void learn(Group& g, const Configuration& view, std::uint64_t highest) {
-    if (g.views.empty() || view.term <= g.term()) {
-      // As one that lost its place meanwhile: a holder that was replaced, by its own owner.
-      if (g.views.empty() || g.role != Role::holder || !view.newer_than(g.view()) || sits(view, self_))
+    Group& group = found->second;
+    group.highest_seen_term = std::max(group.highest_seen_term, message.term);
+    if (!group.configurations.empty() && !message.configuration.owner.is_valid()) return;
+    learn_configuration(group, message.configuration, message.highest_document);
+  }
+  // Adopts a newer configuration that another member reported.
+  void learn_configuration(Group& group, const Configuration& configuration, std::uint64_t highest_document) {
+    if (group.configurations.empty() || configuration.term <= group.term()) {
+      // This replica was meanwhile replaced by its own owner.
+      if (group.configurations.empty() || group.role != Role::replica ||
+          !configuration.newer_than(group.configuration()) || includes(configuration, self_))
         return;
-      g.views = {view};
-      return release(g);
+      group.configurations = {configuration};
+      return become_inactive(group);
     }
-    if (view.owner == self_) return;
-    if (g.role == Role::owner || g.role == Role::returning) deposed(g, view, highest);
-    if (!sits(view, self_)) release(g);
-    else g.role = Role::holder;
-    g.whole = g.asking = false;
-    g.views = {view}, g.voted = std::max(g.voted, view.term), g.highest = highest;
-    g.try_at = now_ + set_.lease_duration * (1 + set_.max_clock_drift);
-    if (g.role == Role::former) note(g);
+    if (configuration.owner == self_) return;
+    if (group.role == Role::owner || group.role == Role::recovering)
+      step_down(group, configuration, highest_document);
+    if (!includes(configuration, self_)) become_inactive(group);
+    else group.role = Role::replica;
+    group.in_sync = group.is_candidate = false;
+    group.configurations = {configuration}, group.voted_term = std::max(group.voted_term, configuration.term),
+    group.highest_document = highest_document;
+    group.next_election_at = now_ + settings_.lease_duration * (1 + settings_.max_clock_drift);
+    if (group.role == Role::inactive) persist(group);
   }
 
-  // Another owns the group: what it knew of is its own now; what it never heard of stays here, as new.
-  void deposed(Group& g, const Configuration& by, std::uint64_t highest) {
-    say("taken over by another", g, by.owner.member, g.docs.size());
-    if (g.id == current_) ++current_.number;
+  // Another relay owns the group now, with all documents that it knew. Those that it never received stay
+  // here, in a new group.
+  void step_down(Group& group, const Configuration& newer, std::uint64_t highest_document) {
+    log_event("taken over by another relay", group, newer.owner.member, group.docs.size());
+    if (group.id == current_group_) ++current_group_.number;
     std::vector<std::pair<GlobalDocId, Doc>> kept;
-    for (auto at = g.docs.begin(); at != g.docs.end();) {
+    for (auto at = group.docs.begin(); at != group.docs.end();) {
       auto [number, doc] = *at++;
-      if (number > highest && g.id.origin == self_.member) {
-        kept.emplace_back(deed_of(g, number), doc);
-        drop(g, number);
+      if (number > highest_document && group.id.origin == self_.member) {
+        kept.emplace_back(id_of(group, number), doc);
+        erase_document(group, number);
         continue;
       }
-      // Whoever has it now owes it: its client may hear so.
-      if (!doc.answered) done_.accepted.push_back(deed_of(g, number));
-      done_.relinquished.push_back(deed_of(g, number));
+      // The new owner has the document, so its client may be told that it was accepted.
+      if (!doc.accepted) actions_.accepted.push_back(id_of(group, number));
+      actions_.relinquished.push_back(id_of(group, number));
     }
-    if (g.role == Role::returning) g.position = {};
-    else if (!g.from_copies) g.position = {g.term(), g.log_end};
-    g.from_copies = false;
-    g.log.clear(), g.progress.clear(), g.to_answer.clear(), g.to_tell.clear();
-    g.views = {by}, g.role = Role::former, g.asking = false, g.highest = highest;
-    auto to_go = std::exchange(g.to_go, {});
-    note(g);
-    for (auto& [deed, doc] : kept) {
-      doc.papers.id = next_document_id(deed.document_number);
-      Group& to = own_group(doc.papers.id.group());
-      done_.renumbered.emplace_back(deed, doc.papers.id);
-      Doc& moved = to.docs[deed.document_number] = doc;
-      to.bytes += moved.bytes(), to.highest = std::max(to.highest, deed.document_number);
-      moved.paper_event = log(to, {EventKind::document, deed.document_number, {}});
-      for (Risk& risk : moved.risks) risk.event = moved.paper_event;
-      if (moved.papers.ended) {
-        moved.end_event = moved.paper_event;
-        to.to_tell.emplace_back(moved.end_event, deed.document_number);
+    if (group.role == Role::recovering) group.log_position = {};
+    else if (!group.taken_over) group.log_position = {group.term(), group.last_index};
+    group.taken_over = false;
+    group.log.clear(), group.progress.clear(), group.awaiting_replication.clear(), group.held_ends.clear();
+    group.configurations = {newer}, group.role = Role::inactive, group.is_candidate = false,
+    group.highest_document = highest_document;
+    auto held_transmissions = std::exchange(group.held_transmissions, {});
+    persist(group);
+    for (auto& [old_id, doc] : kept) {
+      doc.state.id = next_document_id(old_id.document_number);
+      Group& target = get_or_create_owned_group(doc.state.id.group());
+      actions_.renumbered.emplace_back(old_id, doc.state.id);
+      Doc& moved = target.docs[old_id.document_number] = doc;
+      target.bytes += moved.bytes(),
+          target.highest_document = std::max(target.highest_document, old_id.document_number);
+      moved.document_index = append(target, {EntryKind::document, old_id.document_number, {}});
+      for (Transmission& transmission : moved.in_doubt) transmission.log_index = moved.document_index;
+      if (moved.state.ended) {
+        moved.end_index = moved.document_index;
+        target.held_ends.emplace_back(moved.end_index, old_id.document_number);
       }
-      if (!moved.answered) to.to_answer.emplace_back(moved.paper_event, deed.document_number);
+      if (!moved.accepted)
+        target.awaiting_replication.emplace_back(moved.document_index, old_id.document_number);
     }
-    for (const auto& [number, transmission] : to_go) {
-      auto& to = groups_[current_];
-      if (to.docs.count(number)) to.to_go.emplace_back(number, transmission);
+    for (const auto& [number, transmission] : held_transmissions) {
+      auto& target = groups_[current_group_];
+      if (target.docs.count(number)) target.held_transmissions.emplace_back(number, transmission);
     }
   }
 
-  // Votes.
-  void asked(const CustodyMessage& m) {
-    auto found = groups_.find(m.group);
-    bool mine =
-        m.configuration.owner.member == m.sender.member;  // the owner itself, in this life or a later one
-    RelayInstance place;                                  // of this relay, maybe in an earlier life
-    for (const RelayInstance& seat : m.configuration.replicas)
-      if (seat.member == self_.member) place = seat;
-    if (m.configuration.owner.member == self_.member) place = m.configuration.owner;
-    bool present = place == self_;
-    CustodyMessage no;
-    no.kind = Kind::vote, no.group = m.group, no.sender = self_, no.term = m.term, no.pre_vote = m.pre_vote;
-    no.configuration.revision = m.configuration.revision;
+  // Elections.
+  void on_request_vote(const CustodyMessage& message) {
+    auto found = groups_.find(message.group);
+    // The owner itself, in this incarnation or a later one.
+    bool from_owner = message.configuration.owner.member == message.sender.member;
+    RelayInstance own_instance;  // this relay, possibly in an earlier incarnation
+    for (const RelayInstance& instance : message.configuration.replicas)
+      if (instance.member == self_.member) own_instance = instance;
+    if (message.configuration.owner.member == self_.member) own_instance = message.configuration.owner;
+    bool same_incarnation = own_instance == self_;
+    CustodyMessage denial;
+    denial.kind = MessageKind::vote, denial.group = message.group, denial.sender = self_,
+    denial.term = message.term, denial.pre_vote = message.pre_vote;
+    denial.configuration.revision = message.configuration.revision;
     auto deny = [&] {
-      if (found != groups_.end() && !found->second.views.empty()) {
-        no.configuration = found->second.view(), no.term = found->second.voted,
-        no.highest_document = found->second.highest;
-        no.number = m.configuration.revision;
+      if (found != groups_.end() && !found->second.configurations.empty()) {
+        denial.configuration = found->second.configuration(), denial.term = found->second.voted_term,
+        denial.highest_document = found->second.highest_document;
+        denial.number = message.configuration.revision;
       }
-      send(m.sender.member, no);
+      send(message.sender.member, denial);
     };
-    if (found == groups_.end() && (!place.is_valid() || present || !mine)) return deny();
-    // Safety: a restarted holder has lost its copies, but its folder tells how it voted; by its word nobody
-    // but the owner goes on, who has all. A folder that did not see that life tells nothing.
-    if (!present && !(mine && place.is_valid() && lived_.count(place.incarnation) > 0)) return deny();
-    // Safety: nor does it know whom that life gave a lease to, so it waits for the end of any.
-    if (!present && now_ < started_ + set_.lease_duration * (1 + set_.max_clock_drift)) return deny();
-    Group& g = groups_[m.group];
-    g.id = m.group;
-    bool again = g.voted == m.term && !m.pre_vote && g.asked == m.term && g.given_to == m.sender;
-    if (!again) {
-      if (m.term <= g.voted) return deny();
-      // Safety: by its last vote before its restart another may own the group: with its copies it lost
-      // whether.
-      if (!present && g.voted > m.configuration.term && g.voted.origin != m.sender.member) return deny();
-      if (g.role == Role::owner || g.role == Role::returning) return deny();
-      if (!g.views.empty()) {
-        const Configuration& known = g.view();
-        if (known.term > m.configuration.term) return deny();
-        // Safety: an owner that knows less of its own changes than its holder has an older folder.
-        if (mine && known.term == m.configuration.term && known.revision > m.number) return deny();
-        if (!mine && known.newer_than(m.configuration)) return deny();
+    if (found == groups_.end() && (!own_instance.is_valid() || same_incarnation || !from_owner))
+      return deny();
+    // Safety: a restarted replica has lost its documents, but its state directory has its vote. With its vote
+    // only the owner may continue, which has all documents. A state directory that did not see that
+    // incarnation proves nothing.
+    if (!same_incarnation &&
+        !(from_owner && own_instance.is_valid() && past_incarnations_.count(own_instance.incarnation) > 0))
+      return deny();
+    // Safety: it does not know to whom that incarnation granted a lease either, so it waits until any has
+    // expired.
+    if (!same_incarnation && now_ < started_ + settings_.lease_duration * (1 + settings_.max_clock_drift))
+      return deny();
+    Group& group = groups_[message.group];
+    group.id = message.group;
+    bool repeated = group.voted_term == message.term && !message.pre_vote &&
+                    group.requested_term == message.term && group.lease_granted_to == message.sender;
+    if (!repeated) {
+      if (message.term <= group.voted_term) return deny();
+      // Safety: by its last vote before the restart another relay may own the group; this replica lost that
+      // knowledge with its documents.
+      if (!same_incarnation && group.voted_term > message.configuration.term &&
+          group.voted_term.origin != message.sender.member)
+        return deny();
+      if (group.role == Role::owner || group.role == Role::recovering) return deny();
+      if (!group.configurations.empty()) {
+        const Configuration& known = group.configuration();
+        if (known.term > message.configuration.term) return deny();
+        // Safety: an owner that knows fewer of its own revisions than its replica runs on an older state
+        // directory.
+        if (from_owner && known.term == message.configuration.term && known.revision > message.number)
+          return deny();
+        if (!from_owner && known.newer_than(message.configuration)) return deny();
       }
-      // Safety: not before the lease given to another has surely ended.
-      if (now_ < g.given_until && g.given_to != m.sender) return deny();
-      if (present && g.role == Role::holder) {
-        // Safety: nobody is elected who lacks what this copy has.
-        bool has = g.position.term.counter > 0;
-        if (mine ? has && m.recovering && m.highest_document < g.highest : !has || m.position < g.position)
+      // Safety: not before a lease granted to another has certainly expired.
+      if (now_ < group.lease_granted_until && group.lease_granted_to != message.sender) return deny();
+      if (same_incarnation && group.role == Role::replica) {
+        // Safety: no candidate is elected that lacks what this replica has.
+        bool has_log = group.log_position.term.counter > 0;
+        if (from_owner ? has_log && message.recovering && message.highest_document < group.highest_document
+                       : !has_log || message.position < group.log_position)
           return deny();
-      } else if (!mine) return deny();
+      } else if (!from_owner) return deny();
     }
-    CustodyMessage yes = no;
-    yes.yes = true, yes.number = m.configuration.revision, yes.configuration = {},
-    yes.highest_document = g.highest;
-    if (m.pre_vote) return send(m.sender.member, yes);
-    if (!again) {
-      g.voted = g.asked = m.term, g.asking = false, g.given_to = m.sender, g.given_until = -never;
-      g.try_at = now_ + set_.lease_duration * (1 + set_.max_clock_drift) * drawn(1, 1.5);
-      if (g.views.empty()) g.views = {m.configuration}, g.role = Role::former;
-      note(g);
+    CustodyMessage approval = denial;
+    approval.yes = true, approval.number = message.configuration.revision, approval.configuration = {},
+    approval.highest_document = group.highest_document;
+    if (message.pre_vote) return send(message.sender.member, approval);
+    if (!repeated) {
+      group.voted_term = group.requested_term = message.term, group.is_candidate = false,
+      group.lease_granted_to = message.sender, group.lease_granted_until = -never;
+      group.next_election_at =
+          now_ + settings_.lease_duration * (1 + settings_.max_clock_drift) * random_between(1, 1.5);
+      if (group.configurations.empty())
+        group.configurations = {message.configuration}, group.role = Role::inactive;
+      persist(group);
     }
-    // One that returned may have an older folder, or have ended what was not told: it hears what is here.
-    if (m.recovering && present && g.role == Role::holder && g.position.term.counter > 0) {
-      auto list = message(Kind::inventory, g);
-      list.term = m.term, list.in_sync = g.whole && !g.aged,
-      list.number = yes.position.index = g.docs.size() + 1;
+    // A recovering owner may run on an older state directory, or may have recorded an end that was not
+    // reported, so it is sent the inventory of this replica.
+    if (message.recovering && same_incarnation && group.role == Role::replica &&
+        group.log_position.term.counter > 0) {
+      auto inventory = make_message(MessageKind::inventory, group);
+      inventory.term = message.term, inventory.in_sync = group.in_sync && !group.dropped_expired,
+      inventory.number = approval.position.index = group.docs.size() + 1;
       auto flush = [&](bool last) {
-        list.yes = last;
-        send(m.sender.member, list);
-        list.documents.clear();
+        inventory.yes = last;
+        send(message.sender.member, inventory);
+        inventory.documents.clear();
       };
-      for (const auto& [number, doc] : g.docs) {
-        DocumentState papers = papers_of(doc);
-        papers.record.clear();
-        list.documents.push_back(std::move(papers));
-        if (list.documents.size() >= inventory_docs) flush(false);
+      for (const auto& [number, doc] : group.docs) {
+        DocumentState document = state_of(doc);
+        document.record.clear();
+        inventory.documents.push_back(std::move(document));
+        if (inventory.documents.size() >= max_inventory_documents) flush(false);
       }
       flush(true);
     }
-    send(m.sender.member, yes);
+    send(message.sender.member, approval);
   }
-  void vote(const CustodyMessage& m) {
-    auto found = groups_.find(m.group);
+  void on_vote(const CustodyMessage& message) {
+    auto found = groups_.find(message.group);
     if (found == groups_.end()) return;
-    Group& g = found->second;
-    if (!m.yes) {
-      g.higher = std::max(g.higher, m.term);
-      if (!m.configuration.owner.is_valid()) return;
-      // Safety: of its own changes it knows less than another does: an older folder, which must not go on.
-      if (g.role == Role::returning && m.configuration.newer_than(g.view())) g.objected = true;
-      return learn(g, m.configuration, m.highest_document);
+    Group& group = found->second;
+    if (!message.yes) {
+      group.highest_seen_term = std::max(group.highest_seen_term, message.term);
+      if (!message.configuration.owner.is_valid()) return;
+      // Safety: it knows fewer of its own revisions than another member does. Its state directory is older
+      // and it must not continue.
+      if (group.role == Role::recovering && message.configuration.newer_than(group.configuration()))
+        group.has_stale_state = true;
+      return learn_configuration(group, message.configuration, message.highest_document);
     }
-    if (!g.asking || m.term != g.asked || m.pre_vote != g.trial) return;
-    // Safety: the answers of one vote are not those of another, nor of another life of the voter.
-    if (auto before = g.voters.find(m.sender.member); before != g.voters.end() && before->second != m.sender)
+    if (!group.is_candidate || message.term != group.requested_term || message.pre_vote != group.is_pre_vote)
       return;
-    g.yes.insert({m.number, m.sender.member}), g.voters[m.sender.member] = m.sender;
-    if (m.position.index > 0) g.inventories[m.sender.member].second = m.position.index;
+    // Safety: a vote counts only for its election and for one incarnation of the voter.
+    if (auto before = group.voters.find(message.sender.member);
+        before != group.voters.end() && before->second != message.sender)
+      return;
+    group.votes.insert({message.number, message.sender.member}),
+        group.voters[message.sender.member] = message.sender;
+    if (message.position.index > 0) group.inventories[message.sender.member].second = message.position.index;
   }
-  void inventory(const CustodyMessage& m) {
-    auto found = groups_.find(m.group);
+  void on_inventory(const CustodyMessage& message) {
+    auto found = groups_.find(message.group);
     if (found == groups_.end()) return;
-    Group& g = found->second;
-    if (!g.asking || g.trial || m.term != g.asked || g.role != Role::returning) return;
-    auto& [got, all] = g.inventories[m.sender.member];
-    if (got == 0) g.held_by.push_back({m.in_sync ? m.highest_document : 0, {}});
-    got += m.documents.size() + m.yes, all = m.number;
-    for (const auto& papers : m.documents) {
-      g.held_by.back().second.insert(papers.id.document_number);
-      for (const auto& risk : papers.in_doubt) {
-        auto& risks = g.listed[papers.id.document_number];
-        risks.push_back(risk);
+    Group& group = found->second;
+    if (!group.is_candidate || group.is_pre_vote || message.term != group.requested_term ||
+        group.role != Role::recovering)
+      return;
+    auto& [received, expected] = group.inventories[message.sender.member];
+    if (received == 0)
+      group.reported_documents.push_back({message.in_sync ? message.highest_document : 0, {}});
+    received += message.documents.size() + message.yes, expected = message.number;
+    for (const auto& document : message.documents) {
+      group.reported_documents.back().second.insert(document.id.document_number);
+      for (const auto& transmission : document.in_doubt) {
+        auto& reported = group.reported_in_doubt[document.id.document_number];
+        reported.push_back(transmission);
       }
     }
   }
 
-  // The rules. Of one that wants to own.
-  bool wants_votes(Group& g) {
-    if (g.asking) return now_ >= g.asked_at + beat();
-    if (g.role == Role::returning) return true;
-    // A later term was voted for elsewhere, by nobody's election yet: only by a term of its own it goes on.
-    // So does one whose holders restarted: their folders tell that nobody was elected.
-    if (g.role == Role::owner)
-      return now_ >= g.try_at && std::ranges::any_of(g.views, binds) &&
-             (g.higher > g.term() || (!acts(g) && now_ >= g.led_at + set_.lease_duration));
-    return g.role == Role::holder && binds(g.view()) && now_ >= g.try_at && now_ >= g.given_until &&
-           g.position.term.counter > 0;
-  }
-  void ask(Group& g) {
-    bool owner = g.role != Role::holder;
-    // Without room, the other holder goes first; nobody else: a document is owed all the same.
-    if (!room_ && !owner && !g.asking) {
-      if (!std::exchange(g.made_way, true)) return void(g.try_at = now_ + 2 * set_.lease_duration);
+  // The conditions and effects of the rules. Elections:
+  bool should_request_votes(Group& group) {
+    if (group.is_candidate) return now_ >= group.votes_requested_at + heartbeat_interval();
+    if (group.role == Role::recovering) return true;
+    // Another member has voted in a later term in which nobody is known to be elected: the owner can continue
+    // only in a new term of its own. So can an owner whose replicas restarted: their stored state shows that
+    // nobody was elected.
+    if (group.role == Role::owner)
+      return now_ >= group.next_election_at && std::ranges::any_of(group.configurations, requires_lease) &&
+             (group.highest_seen_term > group.term() ||
+              (!has_lease(group) && now_ >= group.last_lease_at + settings_.lease_duration));
+    return group.role == Role::replica && requires_lease(group.configuration()) &&
+           now_ >= group.next_election_at && now_ >= group.lease_granted_until &&
+           group.log_position.term.counter > 0;
+  }
+  void request_votes(Group& group) {
+    bool is_owner = group.role != Role::replica;
+    // Without capacity, the other replica may go first, but only once: the documents must be delivered in any
+    // case.
+    if (!has_capacity_ && !is_owner && !group.is_candidate) {
+      if (!std::exchange(group.yielded, true))
+        return void(group.next_election_at = now_ + 2 * settings_.lease_duration);
     }
-    bool trial = g.role == Role::holder && !g.trial;
-    if (g.asking && g.role == Role::holder && !trial) trial = true;  // the vote came to nothing
-    begin_vote(g, trial);
-  }
-  void begin_vote(Group& g, bool trial) {
-    bool repeat =
-        g.asking && !trial && !g.trial && g.asked == g.voted && g.role != Role::holder && g.higher <= g.asked;
+    bool pre_vote = group.role == Role::replica && !group.is_pre_vote;
+    if (group.is_candidate && group.role == Role::replica && !pre_vote)
+      pre_vote = true;  // the election failed
+    start_election(group, pre_vote);
+  }
+  void start_election(Group& group, bool pre_vote) {
+    bool repeat = group.is_candidate && !pre_vote && !group.is_pre_vote &&
+                  group.requested_term == group.voted_term && group.role != Role::replica &&
+                  group.highest_seen_term <= group.requested_term;
     if (!repeat) {
-      if (g.role == Role::returning && !g.asking) g.asks_since = now_;
-      auto above = std::max({g.voted, g.term(), g.higher});
-      g.asked = {above.counter + 1, self_.member};
-      g.yes.clear(), g.voters.clear(), g.inventories.clear(), g.listed.clear(), g.held_by.clear();
-      if (!trial) g.voted = g.asked, note(g);
+      if (group.role == Role::recovering && !group.is_candidate) group.recovery_started_at = now_;
+      auto highest_term = std::max({group.voted_term, group.term(), group.highest_seen_term});
+      group.requested_term = {highest_term.counter + 1, self_.member};
+      group.votes.clear(), group.voters.clear(), group.inventories.clear(), group.reported_in_doubt.clear(),
+          group.reported_documents.clear();
+      if (!pre_vote) group.voted_term = group.requested_term, persist(group);
     } else {
-      g.inventories.clear(), g.listed.clear(), g.held_by.clear();
+      group.inventories.clear(), group.reported_in_doubt.clear(), group.reported_documents.clear();
     }
-    g.asking = true, g.trial = trial, g.asked_at = now_;
-    for (const Configuration& view : g.views) {
-      auto m = message(Kind::request_vote, g);
-      m.configuration = view, m.term = g.asked, m.pre_vote = trial, m.recovering = g.role == Role::returning;
-      m.number = g.view().revision;
-      m.position = g.role == Role::holder ? g.position : LogPosition{g.term(), g.log_end};
-      for (const RelayInstance& seat : view.replicas)
-        if (seat.member != self_.member) send(seat.member, m);
-      if (view.owner.member != self_.member) send(view.owner.member, m);
+    group.is_candidate = true, group.is_pre_vote = pre_vote, group.votes_requested_at = now_;
+    for (const Configuration& configuration : group.configurations) {
+      auto message = make_message(MessageKind::request_vote, group);
+      message.configuration = configuration, message.term = group.requested_term, message.pre_vote = pre_vote,
+      message.recovering = group.role == Role::recovering;
+      message.number = group.configuration().revision;
+      message.position =
+          group.role == Role::replica ? group.log_position : LogPosition{group.term(), group.last_index};
+      for (const RelayInstance& instance : configuration.replicas)
+        if (instance.member != self_.member) send(instance.member, message);
+      if (configuration.owner.member != self_.member) send(configuration.owner.member, message);
     }
-    // One that returned asks all others too: whoever knows of a later owner says so.
-    if (g.role == Role::returning)
-      for (MemberId other : ring_)
-        if (!sits(g.view(), other)) {
-          auto m = message(Kind::request_vote, g);
-          m.configuration = g.view(), m.term = g.asked, m.pre_vote = true, m.recovering = true,
-          m.number = g.view().revision;
-          send(other, m);
+    // A recovering owner asks all other members as well: any of them may know of a later owner.
+    if (group.role == Role::recovering)
+      for (MemberId other : placement_order_)
+        if (!includes(group.configuration(), other)) {
+          auto message = make_message(MessageKind::request_vote, group);
+          message.configuration = group.configuration(), message.term = group.requested_term,
+          message.pre_vote = true, message.recovering = true, message.number = group.configuration().revision;
+          send(other, message);
         }
   }
-  // Safety: a majority of three in each view that may count: this relay and one other seat of it.
-  bool is_elected(Group& g) {
-    if (!g.asking || g.role == Role::former || (!g.trial && g.voted != g.asked)) return false;
-    if (g.role == Role::holder && !binds(g.view())) return false;
-    for (const Configuration& view : g.views)
-      if (binds(view) && std::ranges::none_of(g.yes, [&](const auto& vote) {
-            return vote.first == view.revision && sits(view, vote.second);
+  // Safety: a majority of three in each configuration in force, which is this relay and one other member.
+  bool is_elected(Group& group) {
+    if (!group.is_candidate || group.role == Role::inactive ||
+        (!group.is_pre_vote && group.voted_term != group.requested_term))
+      return false;
+    if (group.role == Role::replica && !requires_lease(group.configuration())) return false;
+    for (const Configuration& configuration : group.configurations)
+      if (requires_lease(configuration) && std::ranges::none_of(group.votes, [&](const auto& vote) {
+            return vote.first == configuration.revision && includes(configuration, vote.second);
           }))
         return false;
-    if (g.role != Role::returning) return true;
-    if (g.objected) return false;
-    for (const auto& [member, list] : g.inventories)
-      if (list.first != list.second) return false;
-    // The other holders' word is waited for while they live: the folder may be older than what they know.
-    bool waited = now_ >= g.asks_since + return_patience * set_.lease_duration;
-    if (!waited && !binds(g.view()) && !ring_.empty()) return false;
-    for (const Configuration& view : g.views)
-      for (const RelayInstance& seat : view.replicas)
-        if (!waited && !g.voters.count(seat.member)) {
-          auto known = known_.find(seat.member);
-          if (known == known_.end() || known->second.second != MemberState::dead) return false;
+    if (group.role != Role::recovering) return true;
+    if (group.has_stale_state) return false;
+    for (const auto& [member, inventory] : group.inventories)
+      if (inventory.first != inventory.second) return false;
+    // Waits for the answers of the replicas that are alive: they may know more than the state directory.
+    bool waited = now_ >= group.recovery_started_at + recovery_timeout_leases * settings_.lease_duration;
+    if (!waited && !requires_lease(group.configuration()) && !placement_order_.empty()) return false;
+    for (const Configuration& configuration : group.configurations)
+      for (const RelayInstance& instance : configuration.replicas)
+        if (!waited && !group.voters.count(instance.member)) {
+          auto known = members_.find(instance.member);
+          if (known == members_.end() || known->second.second != MemberState::dead) return false;
         }
     return true;
   }
-  void elect(Group& g) {
-    if (g.trial) return begin_vote(g, false);
-    bool returned = g.role == Role::returning, taken = g.role == Role::holder;
-    Configuration before = g.view(), next;
-    next.term = g.asked, next.owner = self_;
-    for (const RelayInstance& seat : before.replicas)
-      if (seat.member != self_.member) {
-        auto voter = g.voters.find(seat.member);
-        next.replicas.push_back(voter == g.voters.end() || !sits(before, seat.member) ? seat : voter->second);
+  void become_owner(Group& group) {
+    if (group.is_pre_vote) return start_election(group, false);
+    bool was_recovering = group.role == Role::recovering, was_replica = group.role == Role::replica;
+    Configuration previous = group.configuration(), next;
+    next.term = group.requested_term, next.owner = self_;
+    for (const RelayInstance& instance : previous.replicas)
+      if (instance.member != self_.member) {
+        auto voter = group.voters.find(instance.member);
+        next.replicas.push_back(
+            voter == group.voters.end() || !includes(previous, instance.member) ? instance : voter->second);
       }
-    // Safety: the same three seats, so that the next election meets this one; the old owner's is a holder's
-    // now.
-    if (before.owner.member != self_.member) next.replicas.push_back(before.owner);
-    g.asking = false, g.trial = false, g.views = {next}, g.beat_at = now_, g.led_at = now_;
-    g.try_at = now_ + set_.lease_duration;
-    if (returned) reconcile(g);
-    if (taken) {
-      g.log_end = g.position.index, g.log.clear(), g.from_copies = true, g.acted = false;
-      ++count_.takeovers;
-      say("takes over", g, before.owner.member, g.docs.size());
+    // Safety: the same three members, so that the majorities of this election and the next intersect. The old
+    // owner becomes a replica.
+    if (previous.owner.member != self_.member) next.replicas.push_back(previous.owner);
+    group.is_candidate = false, group.is_pre_vote = false, group.configurations = {next},
+    group.next_heartbeat_at = now_, group.last_lease_at = now_;
+    group.next_election_at = now_ + settings_.lease_duration;
+    if (was_recovering) apply_inventories(group);
+    if (was_replica) {
+      group.last_index = group.log_position.index, group.log.clear(), group.taken_over = true,
+      group.is_active = false;
+      ++statistics_.takeovers;
+      log_event("taking over", group, previous.owner.member, group.docs.size());
     }
-    if (returned || taken) {
-      g.progress.clear(), g.role = Role::owner, g.acted = false;
-      // The entries of another log say nothing in this one.
-      for (auto& [number, doc] : g.docs) {
-        doc.paper_event = doc.end_event = 0;
-        for (Risk& risk : doc.risks) risk.event = 0;
+    if (was_recovering || was_replica) {
+      group.progress.clear(), group.role = Role::owner, group.is_active = false;
+      // The indexes of the previous log mean nothing in this one.
+      for (auto& [number, doc] : group.docs) {
+        doc.document_index = doc.end_index = 0;
+        for (Transmission& transmission : doc.in_doubt) transmission.log_index = 0;
       }
     }
-    std::erase_if(g.progress, [&](const auto& at) { return !sits(next, at.first); });
-    for (auto& [seat, progress] : g.progress) progress.accepted = false;
-    note(g);
-  }
-  // What the copies know that the folder does not: risks; and what was over, where the folder is older.
-  void reconcile(Group& g) {
-    for (auto& [number, risks] : g.listed)
-      if (auto found = g.docs.find(number); found != g.docs.end())
-        for (const auto& risk : risks) {
+    std::erase_if(group.progress, [&](const auto& at) { return !includes(next, at.first); });
+    for (auto& [instance, progress] : group.progress) progress.configuration_accepted = false;
+    persist(group);
+  }
+  // Adds what the replicas know and an older state directory does not: in-doubt transmissions, and removed
+  // documents.
+  void apply_inventories(Group& group) {
+    for (auto& [number, reported] : group.reported_in_doubt)
+      if (auto found = group.docs.find(number); found != group.docs.end())
+        for (const auto& transmission : reported) {
           Doc& doc = found->second;
-          auto known = std::ranges::find(doc.risks, risk.number, &Risk::transmission);
-          if (known == doc.risks.end()) doc.risks.push_back({risk.number, now_ - risk.age, risk.zone, 0});
-          doc.papers.transmission_count = std::max(doc.papers.transmission_count, risk.number + 1);
+          auto known = std::ranges::find(doc.in_doubt, transmission.number, &Transmission::number);
+          if (known == doc.in_doubt.end())
+            doc.in_doubt.push_back({transmission.number, now_ - transmission.age, transmission.zone, 0});
+          doc.state.transmission_count = std::max(doc.state.transmission_count, transmission.number + 1);
         }
-    for (const auto& [highest, deeds] : g.held_by)
-      for (auto at = g.docs.begin(); at != g.docs.end();) {
+    for (const auto& [highest, numbers] : group.reported_documents)
+      for (auto at = group.docs.begin(); at != group.docs.end();) {
         auto number = (at++)->first;
-        if (number > highest || deeds.count(number)) continue;
-        done_.relinquished.push_back(deed_of(g, number));
-        drop(g, number);
+        if (number > highest || numbers.count(number)) continue;
+        actions_.relinquished.push_back(id_of(group, number));
+        erase_document(group, number);
       }
-    g.listed.clear(), g.held_by.clear(), g.inventories.clear();
+    group.reported_in_doubt.clear(), group.reported_documents.clear(), group.inventories.clear();
   }
 
-  // Of an owner.
-  bool may_act(Group& g) { return g.role == Role::owner && !g.acted && acts(g); }
-  void act(Group& g) {
-    g.acted = true, g.led_at = now_;
-    bool taken = std::exchange(g.from_copies, false);
-    for (auto& [number, doc] : g.docs) {
-      // A document whose client may have been told to come again is taken for one that may have run.
-      if (taken && doc.papers.replicate_before_send && !doc.papers.acceptance_confirmed &&
-          doc.risks.empty() && !doc.papers.ended)
-        doc.risks.push_back({doc.papers.transmission_count, now_, ZoneId(UINT32_MAX), 0});
-      doc.papers.acceptance_confirmed = doc.answered = true, doc.copied_by = never;
-      // Its end is told once a copy of this owner's has it too.
-      if (doc.papers.ended && doc.end_event == 0) {
-        doc.end_event = log(g, {EventKind::document, number, {}});
-        g.to_tell.emplace_back(doc.end_event, number);
+  // Documents of an owner:
+  bool should_activate(Group& group) {
+    return group.role == Role::owner && !group.is_active && has_lease(group);
+  }
+  void activate(Group& group) {
+    group.is_active = true, group.last_lease_at = now_;
+    bool taken_over = std::exchange(group.taken_over, false);
+    for (auto& [number, doc] : group.docs) {
+      // A document whose client may have been told to retry is treated as one that may have run.
+      if (taken_over && doc.state.replicate_before_send && !doc.state.acceptance_confirmed &&
+          doc.in_doubt.empty() && !doc.state.ended)
+        doc.in_doubt.push_back({doc.state.transmission_count, now_, ZoneId(UINT32_MAX), 0});
+      doc.state.acceptance_confirmed = doc.accepted = true, doc.replication_deadline = never;
+      // Its end is reported once one of this owner's replicas has it too.
+      if (doc.state.ended && doc.end_index == 0) {
+        doc.end_index = append(group, {EntryKind::document, number, {}});
+        group.held_ends.emplace_back(doc.end_index, number);
       }
-      (taken ? done_.taken_over : done_.resumed).push_back(papers_of(doc));
+      (taken_over ? actions_.taken_over : actions_.resumed).push_back(state_of(doc));
     }
   }
-  bool is_copied(Group& g) {
-    return g.role == Role::owner && !g.to_answer.empty() && acts(g) && g.to_answer.front().first <= copied(g);
-  }
-  void answer_copied(Group& g) {
-    auto upto = copied(g);
-    while (!g.to_answer.empty() && g.to_answer.front().first <= upto) {
-      auto number = g.to_answer.front().second;
-      g.to_answer.pop_front();
-      auto found = g.docs.find(number);
-      if (found == g.docs.end() || found->second.answered) continue;
-      found->second.answered = found->second.papers.acceptance_confirmed = true,
-      found->second.copied_by = never;
-      done_.accepted.push_back(deed_of(g, number));
-      log(g, {EventKind::acceptance_confirmed, number, {}});
+  bool has_replicated_document(Group& group) {
+    return group.role == Role::owner && !group.awaiting_replication.empty() && has_lease(group) &&
+           group.awaiting_replication.front().first <= replicated_index(group);
+  }
+  void accept_replicated(Group& group) {
+    auto last_replicated = replicated_index(group);
+    while (!group.awaiting_replication.empty() &&
+           group.awaiting_replication.front().first <= last_replicated) {
+      auto number = group.awaiting_replication.front().second;
+      group.awaiting_replication.pop_front();
+      auto found = group.docs.find(number);
+      if (found == group.docs.end() || found->second.accepted) continue;
+      found->second.accepted = found->second.state.acceptance_confirmed = true,
+      found->second.replication_deadline = never;
+      actions_.accepted.push_back(id_of(group, number));
+      append(group, {EntryKind::acceptance_confirmed, number, {}});
     }
   }
-  bool is_too_late(Group& g) {
-    if (g.to_answer.empty()) return false;
-    auto found = g.docs.find(g.to_answer.front().second);
-    return found == g.docs.end() || found->second.answered || now_ >= found->second.copied_by;
-  }
-  void turn_away(Group& g) {
-    auto number = g.to_answer.front().second;
-    g.to_answer.pop_front();
-    auto found = g.docs.find(number);
-    if (found == g.docs.end() || found->second.answered) return;
-    done_.not_accepted.push_back(deed_of(g, number));
-    drop(g, number);
-    log(g, {EventKind::removed, number, {}});
-  }
-  bool some_may_go(Group& g) {
-    return !g.to_go.empty() && acts(g) && std::ranges::any_of(g.to_go, [&](const auto& one) {
-      auto found = g.docs.find(one.first);
-      return found == g.docs.end() || goes(g, found->second, one.second);
-    });
-  }
-  void let_some_go(Group& g) {
-    std::erase_if(g.to_go, [&](const auto& one) {
-      auto found = g.docs.find(one.first);
-      if (found == g.docs.end()) return true;
-      if (!goes(g, found->second, one.second)) return false;
-      done_.cleared_transmissions.emplace_back(deed_of(g, one.first), one.second);
+  bool replication_timed_out(Group& group) {
+    if (group.awaiting_replication.empty()) return false;
+    auto found = group.docs.find(group.awaiting_replication.front().second);
+    return found == group.docs.end() || found->second.accepted || now_ >= found->second.replication_deadline;
+  }
+  void reject_unreplicated(Group& group) {
+    auto number = group.awaiting_replication.front().second;
+    group.awaiting_replication.pop_front();
+    auto found = group.docs.find(number);
+    if (found == group.docs.end() || found->second.accepted) return;
+    actions_.not_accepted.push_back(id_of(group, number));
+    erase_document(group, number);
+    append(group, {EntryKind::removed, number, {}});
+  }
+  bool has_sendable_transmission(Group& group) {
+    return !group.held_transmissions.empty() && has_lease(group) &&
+           std::ranges::any_of(group.held_transmissions, [&](const auto& held) {
+             auto found = group.docs.find(held.first);
+             return found == group.docs.end() || is_safe_to_send(group, found->second, held.second);
+           });
+  }
+  void clear_transmissions(Group& group) {
+    std::erase_if(group.held_transmissions, [&](const auto& held) {
+      auto found = group.docs.find(held.first);
+      if (found == group.docs.end()) return true;
+      if (!is_safe_to_send(group, found->second, held.second)) return false;
+      actions_.cleared_transmissions.emplace_back(id_of(group, held.first), held.second);
       return true;
     });
   }
-  bool end_is_noted(Group& g) {
-    return !g.to_tell.empty() && acts(g) && g.to_tell.front().first <= proven(g);
+  bool has_committed_end(Group& group) {
+    return !group.held_ends.empty() && has_lease(group) &&
+           group.held_ends.front().first <= committed_index(group);
   }
-  void tell_end(Group& g) {
-    auto number = g.to_tell.front().second;
-    g.to_tell.pop_front();
-    if (g.docs.count(number)) done_.reportable_ends.push_back(deed_of(g, number));
+  void report_end(Group& group) {
+    auto number = group.held_ends.front().second;
+    group.held_ends.pop_front();
+    if (group.docs.count(number)) actions_.reportable_ends.push_back(id_of(group, number));
   }
 
-  // Safety: an older view no longer counts once a holder of it has the newest one: with the owner that is a
-  // majority which elects nobody in the older one. Not before the newest has all that was noted.
-  bool is_settled(Group& g) {
-    if (g.role != Role::owner || g.views.size() < 2) return false;
-    for (std::size_t i = 0; i + 1 < g.views.size(); ++i)
-      if (binds(g.views[i]) && std::ranges::none_of(g.views[i].replicas, [&](const RelayInstance& seat) {
-            auto found = g.progress.find(seat);
-            return found != g.progress.end() && found->second.accepted;
+  // Safety: an older configuration is no longer in force once one of its replicas has accepted the newest
+  // one: with the owner that is a majority that elects nobody in the older one. But not before a replica of
+  // the newest configuration has all committed entries.
+  bool can_retire_configurations(Group& group) {
+    if (group.role != Role::owner || group.configurations.size() < 2) return false;
+    for (std::size_t i = 0; i + 1 < group.configurations.size(); ++i)
+      if (requires_lease(group.configurations[i]) &&
+          std::ranges::none_of(group.configurations[i].replicas, [&](const RelayInstance& instance) {
+            auto found = group.progress.find(instance);
+            return found != group.progress.end() && found->second.configuration_accepted;
           }))
         return false;
-    Configuration last = g.views.back();
-    return !binds(last) || noted(g, last) >= std::min(proven(g), g.log_end);
+    Configuration newest = group.configurations.back();
+    return !requires_lease(newest) ||
+           match_index(group, newest) >= std::min(committed_index(group), group.last_index);
   }
-  void settle(Group& g) {
-    g.views.erase(g.views.begin(), g.views.end() - 1);
-    std::erase_if(g.progress, [&](const auto& at) { return !sits(g.view(), at.first); });
-    note(g);
+  void retire_configurations(Group& group) {
+    group.configurations.erase(group.configurations.begin(), group.configurations.end() - 1);
+    std::erase_if(group.progress, [&](const auto& at) { return !includes(group.configuration(), at.first); });
+    persist(group);
   }
 
-  // The two holders that the group should have: those that sit and live stay.
-  std::vector<RelayInstance> wanted(const Group& g) const {
-    std::vector<RelayInstance> seats;
-    if (g.docs.empty() && g.id != current_) return seats;
-    // One that leaves stays only for want of another: its copies go with it.
+  // The two replicas that the group should have. Current ones that are alive stay.
+  std::vector<RelayInstance> desired_replicas(const Group& group) const {
+    std::vector<RelayInstance> instances;
+    if (group.docs.empty() && group.id != current_group_) return instances;
+    // One that is shutting down stays only if there is no other, because its documents are lost with it.
     for (bool leaving : {false, true}) {
-      for (const RelayInstance& seat : g.view().replicas)
-        if (seats.size() < 2 && lives(seat) && leavers_.count(seat) == leaving) seats.push_back(seat);
-      for (MemberId other : ring_) {
-        RelayInstance seat = present(other);
-        if (seats.size() < 2 && seat.is_valid() && leavers_.count(seat) == leaving &&
-            std::ranges::find(seats, other, &RelayInstance::member) == seats.end())
-          seats.push_back(seat);
+      for (const RelayInstance& instance : group.configuration().replicas)
+        if (instances.size() < 2 && is_alive(instance) && leaving_instances_.count(instance) == leaving)
+          instances.push_back(instance);
+      for (MemberId other : placement_order_) {
+        RelayInstance instance = live_instance_of(other);
+        if (instances.size() < 2 && instance.is_valid() && leaving_instances_.count(instance) == leaving &&
+            std::ranges::find(instances, other, &RelayInstance::member) == instances.end())
+          instances.push_back(instance);
       }
     }
-    return seats;
-  }
-  std::vector<RelayInstance> next_holders(Group& g) {
-    auto seats = wanted(g);
-    const auto& now = g.view().replicas;
-    if (seats == now) return now;
-    if (now.size() < 2) return seats;
-    // Safety: of two holders one stays, so that no two views elect without a seat in common.
+    return instances;
+  }
+  std::vector<RelayInstance> next_replicas(Group& group) {
+    auto desired = desired_replicas(group);
+    const auto& current = group.configuration().replicas;
+    if (desired == current) return current;
+    if (current.size() < 2) return desired;
+    // Safety: one of two replicas stays, so that majorities of successive configurations intersect.
     std::vector<RelayInstance> kept;
-    for (const RelayInstance& seat : now)
-      if (lives(seat)) kept.push_back(seat);
-    if (kept.empty()) return now;
-    auto stays = [&](const RelayInstance& seat) { return std::ranges::find(seats, seat) != seats.end(); };
-    // Of those that should stay the one that answered last: the lease goes on by it.
-    std::ranges::stable_sort(kept, std::greater<>(), [&](const RelayInstance& seat) {
-      auto found = g.progress.find(seat);
-      return std::pair(stays(seat), found == g.progress.end() ? -never : found->second.lease_from);
+    for (const RelayInstance& instance : current)
+      if (is_alive(instance)) kept.push_back(instance);
+    if (kept.empty()) return current;
+    auto is_desired = [&](const RelayInstance& instance) {
+      return std::ranges::find(desired, instance) != desired.end();
+    };
+    // Prefers, among those that should stay, the one that answered last: it keeps the lease valid.
+    std::ranges::stable_sort(kept, std::greater<>(), [&](const RelayInstance& instance) {
+      auto found = group.progress.find(instance);
+      return std::pair(is_desired(instance),
+                       found == group.progress.end() ? -never : found->second.lease_start);
     });
-    if (seats.empty()) return {kept.front()};
-    if (kept.size() == 2 && std::ranges::all_of(kept, stays)) return now;
+    if (desired.empty()) return {kept.front()};
+    if (kept.size() == 2 && std::ranges::all_of(kept, is_desired)) return current;
     std::vector<RelayInstance> next{kept.front()};
-    for (const RelayInstance& seat : seats)
-      if (next.size() < 2 && seat != next.front()) next.push_back(seat);
-    for (const Configuration& view : g.views)
-      if (binds(view) && next.size() == 2 && std::ranges::none_of(view.replicas, [&](const RelayInstance& s) {
-            return s == next[0] || s == next[1];
+    for (const RelayInstance& instance : desired)
+      if (next.size() < 2 && instance != next.front()) next.push_back(instance);
+    for (const Configuration& configuration : group.configurations)
+      if (requires_lease(configuration) && next.size() == 2 &&
+          std::ranges::none_of(configuration.replicas, [&](const RelayInstance& replica) {
+            return replica == next[0] || replica == next[1];
           }))
-        return now;
+        return current;
     return next;
   }
-  bool wants_change(Group& g) {
-    if (g.role != Role::owner || g.asking || g.views.size() >= views_most) return false;
-    return next_holders(g) != g.view().replicas;
+  bool should_reconfigure(Group& group) {
+    if (group.role != Role::owner || group.is_candidate ||
+        group.configurations.size() >= max_active_configurations)
+      return false;
+    return next_replicas(group) != group.configuration().replicas;
   }
-  void change(Group& g) {
-    Configuration next = g.view();
-    ++next.revision, next.replicas = next_holders(g);
-    g.views.push_back(next), g.beat_at = now_;
-    ++count_.configuration_changes;
-    for (auto& [seat, progress] : g.progress) progress.accepted = false;
-    note(g);
+  void reconfigure(Group& group) {
+    Configuration next = group.configuration();
+    ++next.revision, next.replicas = next_replicas(group);
+    group.configurations.push_back(next), group.next_heartbeat_at = now_;
+    ++statistics_.configuration_changes;
+    for (auto& [instance, progress] : group.progress) progress.configuration_accepted = false;
+    persist(group);
   }
 
-  bool beat_is_due(Group& g) {
-    return g.role == Role::owner && now_ >= g.beat_at &&
-           std::ranges::any_of(g.views, [](const Configuration& view) { return !view.replicas.empty(); });
-  }
-  void send_beat(Group& g) {
-    g.beat_at = now_ + beat();
-    auto number = ++g.renewals;
-    std::set<RelayInstance> seats;
-    for (const Configuration& view : g.views) seats.insert(view.replicas.begin(), view.replicas.end());
-    for (const RelayInstance& seat : seats) {
-      auto [at, fresh] = g.progress.try_emplace(seat);
-      Progress& p = at->second;
-      if (fresh) p.sent = g.log_end;
-      bool stuck = p.marked == p.noted && (p.sent > p.noted || !p.whole);
-      if (std::exchange(p.marked, p.noted) == p.noted && stuck && !fresh) p.start_over(g.log_end);
-      p.renewals[number] = now_;
-      while (p.renewals.size() > 64) p.renewals.erase(p.renewals.begin());
-      auto m = message(p.accepted ? Kind::renew_lease : Kind::propose_configuration, g);
-      m.number = number;
-      if (!p.accepted) m.configuration = g.view();
-      send(seat.member, std::move(m));
+  bool heartbeat_due(Group& group) {
+    return group.role == Role::owner && now_ >= group.next_heartbeat_at &&
+           std::ranges::any_of(group.configurations, [](const Configuration& configuration) {
+             return !configuration.replicas.empty();
+           });
+  }
+  void send_heartbeat(Group& group) {
+    group.next_heartbeat_at = now_ + heartbeat_interval();
+    auto renewal = ++group.renewal_count;
+    std::set<RelayInstance> instances;
+    for (const Configuration& configuration : group.configurations)
+      instances.insert(configuration.replicas.begin(), configuration.replicas.end());
+    for (const RelayInstance& instance : instances) {
+      auto [at, is_new] = group.progress.try_emplace(instance);
+      Progress& progress = at->second;
+      if (is_new) progress.sent_index = group.last_index;
+      bool stuck = progress.last_heartbeat_match_index == progress.match_index &&
+                   (progress.sent_index > progress.match_index || !progress.in_sync);
+      if (std::exchange(progress.last_heartbeat_match_index, progress.match_index) == progress.match_index &&
+          stuck && !is_new)
+        progress.reset(group.last_index);
+      progress.pending_renewals[renewal] = now_;
+      while (progress.pending_renewals.size() > 64)
+        progress.pending_renewals.erase(progress.pending_renewals.begin());
+      auto message = make_message(
+          progress.configuration_accepted ? MessageKind::renew_lease : MessageKind::propose_configuration,
+          group);
+      message.number = renewal;
+      if (!progress.configuration_accepted) message.configuration = group.configuration();
+      send(instance.member, std::move(message));
     }
   }
 
-  Progress* behind(Group& g, MemberId* to, bool stream) {
-    if (g.role != Role::owner) return nullptr;
-    for (auto& [seat, p] : g.progress) {
-      *to = seat.member;
-      if (p.lease_from <= -never) continue;  // not yet known to be the holder
-      if (p.whole && p.sent + g.log.size() < g.log_end) p.whole = false, p.start_over(g.log_end);
-      if (!p.whole && p.sent + g.log.size() < g.log_end) p.sent = g.log_end;
-      if (stream ? p.sent < g.log_end && p.flight_bytes < window_bytes
-                 : !p.whole && (!p.todo.empty() ? p.parts_out < parts_out_most
-                                                : p.parts_out == 0 && !p.digests_out && p.sent == g.log_end))
-        return &p;
+  Progress* find_lagging(Group& group, MemberId* to, bool for_entries) {
+    if (group.role != Role::owner) return nullptr;
+    for (auto& [instance, progress] : group.progress) {
+      *to = instance.member;
+      if (progress.lease_start <= -never) continue;  // has not yet confirmed that it is a replica
+      if (progress.in_sync && progress.sent_index + group.log.size() < group.last_index)
+        progress.in_sync = false, progress.reset(group.last_index);
+      if (!progress.in_sync && progress.sent_index + group.log.size() < group.last_index)
+        progress.sent_index = group.last_index;
+      if (for_entries
+              ? progress.sent_index < group.last_index && progress.in_flight_bytes < max_unacknowledged_bytes
+              : !progress.in_sync && (!progress.pending_ranges.empty()
+                                          ? progress.ranges_in_flight < max_unacknowledged_ranges
+                                          : progress.ranges_in_flight == 0 && !progress.digests_in_flight &&
+                                                progress.sent_index == group.last_index))
+        return &progress;
     }
     return nullptr;
   }
-  bool has_news(Group& g) {
+  bool has_entries_to_send(Group& group) {
     MemberId to{};
-    return behind(g, &to, true) != nullptr;
+    return find_lagging(group, &to, true) != nullptr;
   }
-  void send_news(Group& g) {
+  void send_entries(Group& group) {
     MemberId to{};
-    Progress& p = *behind(g, &to, true);
-    auto m = message(Kind::append_entries, g);
-    m.number = p.sent + 1;
+    Progress& progress = *find_lagging(group, &to, true);
+    auto message = make_message(MessageKind::append_entries, group);
+    message.number = progress.sent_index + 1;
     std::size_t bytes = 0;
-    for (auto at = g.log.size() - (g.log_end - p.sent); at < g.log.size() && bytes < batch_bytes; ++at) {
-      const Entry& entry = g.log[at];
-      WireLogEntry event{entry.kind, entry.deed, {}, {}};
-      event.transmission = {entry.risk.transmission, now_ - entry.risk.at, entry.risk.hall};
-      if (entry.kind == EventKind::document) {
-        auto found = g.docs.find(entry.deed);
-        if (found == g.docs.end()) event.kind = EventKind::no_op;
-        else event.documents.push_back(papers_of(found->second)), bytes += found->second.bytes();
+    for (auto at = group.log.size() - (group.last_index - progress.sent_index);
+         at < group.log.size() && bytes < max_batch_bytes; ++at) {
+      const LogEntry& entry = group.log[at];
+      WireLogEntry wire_entry{entry.kind, entry.document_number, {}, {}};
+      wire_entry.transmission = {entry.transmission.number, now_ - entry.transmission.started_at,
+                                 entry.transmission.zone};
+      if (entry.kind == EntryKind::document) {
+        auto found = group.docs.find(entry.document_number);
+        if (found == group.docs.end()) wire_entry.kind = EntryKind::no_op;
+        else wire_entry.documents.push_back(state_of(found->second)), bytes += found->second.bytes();
       }
-      bytes += 64, ++p.sent;
-      m.entries.push_back(std::move(event));
+      bytes += 64, ++progress.sent_index;
+      message.entries.push_back(std::move(wire_entry));
     }
-    p.flight.emplace_back(p.sent, bytes), p.flight_bytes += bytes;
-    send(to, std::move(m));
+    progress.in_flight.emplace_back(progress.sent_index, bytes), progress.in_flight_bytes += bytes;
+    send(to, std::move(message));
   }
-  bool catches_up(Group& g) {
+  bool has_replica_to_resync(Group& group) {
     MemberId to{};
-    return behind(g, &to, false) != nullptr;
+    return find_lagging(group, &to, false) != nullptr;
   }
-  void catch_up(Group& g) {
+  void resync_replica(Group& group) {
     MemberId to{};
-    Progress& p = *behind(g, &to, false);
-    if (!p.todo.empty()) {
-      auto m = message(Kind::range_documents, g);
-      m.ranges.push_back(p.todo.front()), p.todo.pop_front();
-      const auto& range = m.ranges.front();
-      for (auto at = g.docs.lower_bound(range.first); at != g.docs.end() && at->first < range.end; ++at)
-        m.documents.push_back(papers_of(at->second));
-      ++p.parts_out;
-      return send(to, std::move(m));
+    Progress& progress = *find_lagging(group, &to, false);
+    if (!progress.pending_ranges.empty()) {
+      auto message = make_message(MessageKind::range_documents, group);
+      message.ranges.push_back(progress.pending_ranges.front()), progress.pending_ranges.pop_front();
+      const auto& range = message.ranges.front();
+      for (auto at = group.docs.lower_bound(range.first); at != group.docs.end() && at->first < range.end;
+           ++at)
+        message.documents.push_back(state_of(at->second));
+      ++progress.ranges_in_flight;
+      return send(to, std::move(message));
     }
-    auto m = message(Kind::range_digests, g);
-    m.number = g.log_end;
+    auto message = make_message(MessageKind::range_digests, group);
+    message.number = group.last_index;
     DocumentRange range;
     std::size_t docs = 0, bytes = 0;
-    for (const auto& [number, doc] : g.docs) {
-      if (docs >= range_docs || bytes + doc.bytes() > range_bytes) {
-        if (docs > 0) range.end = number, m.ranges.push_back(range), range = {number, 0, 0};
+    for (const auto& [number, doc] : group.docs) {
+      if (docs >= max_range_documents || bytes + doc.bytes() > max_range_bytes) {
+        if (docs > 0) range.end = number, message.ranges.push_back(range), range = {number, 0, 0};
         docs = bytes = 0;
       }
-      range.digest += sum_of(number, doc), ++docs, bytes += doc.bytes();
+      range.digest += digest_of(number, doc), ++docs, bytes += doc.bytes();
     }
-    range.end = UINT64_MAX, m.ranges.push_back(range);
-    p.digests_out = true;
-    send(to, std::move(m));
+    range.end = UINT64_MAX, message.ranges.push_back(range);
+    progress.digests_in_flight = true;
+    send(to, std::move(message));
   }
 
-  // Guards against a relay that takes nothing on for as long as its holders are away: what comes from now on
-  // is of another group, which nobody else knows of.
-  bool lacks_lease_for_long(Group& g) {
-    if (g.role == Role::owner && acts(g)) g.led_at = now_;
-    return g.role == Role::owner && (g.id == current_ || g.acted) &&
-           now_ >= g.led_at + give_up_after * set_.lease_duration;
-  }
-  void begin_anew(Group& g) {
-    if (std::exchange(g.acted, false))
-      for (const auto& [number, doc] : g.docs) done_.suspended.push_back(deed_of(g, number));
-    if (g.id != current_) return;
-    ++current_.number;
-    say("no lease for long: further documents go apart", g, self_.member, g.docs.size());
+  // Otherwise the relay would accept nothing while its replicas are unreachable. New documents go into
+  // another group, of which no other member knows.
+  bool lacks_lease_too_long(Group& group) {
+    if (group.role == Role::owner && has_lease(group)) group.last_lease_at = now_;
+    return group.role == Role::owner && (group.id == current_group_ || group.is_active) &&
+           now_ >= group.last_lease_at + new_group_after_leases * settings_.lease_duration;
+  }
+  void start_new_group(Group& group) {
+    if (std::exchange(group.is_active, false))
+      for (const auto& [number, doc] : group.docs) actions_.suspended.push_back(id_of(group, number));
+    if (group.id != current_group_) return;
+    ++current_group_.number;
+    log_event("no lease for too long, starting a new group", group, self_.member, group.docs.size());
   }
 
-  bool some_are_past(Group& g) {
-    Millis after = g.role == Role::holder ? keep_expired : forget_after;
-    if (g.role == Role::holder && now_ < g.given_until + keep_expired) return false;
-    if (g.role == Role::owner && acts(g)) return false;
-    return std::ranges::any_of(g.docs, [&](const auto& at) { return now_ >= at.second.expiry + after; });
-  }
-  void drop_past(Group& g) {
-    bool holder = g.role == Role::holder;
-    for (auto at = g.docs.begin(); at != g.docs.end();) {
+  bool has_expired(Group& group) {
+    Millis retention = group.role == Role::replica ? expired_replica_retention : unowned_retention;
+    if (group.role == Role::replica && now_ < group.lease_granted_until + expired_replica_retention)
+      return false;
+    if (group.role == Role::owner && has_lease(group)) return false;
+    return std::ranges::any_of(group.docs,
+                               [&](const auto& at) { return now_ >= at.second.expiry + retention; });
+  }
+  void drop_expired(Group& group) {
+    bool is_replica = group.role == Role::replica;
+    for (auto at = group.docs.begin(); at != group.docs.end();) {
       auto number = at->first;
-      bool past = now_ >= (at++)->second.expiry + (holder ? keep_expired : forget_after);
-      if (!past) continue;
-      if (holder) g.aged = true, g.whole = false;
-      else done_.relinquished.push_back(deed_of(g, number));
-      drop(g, number);
+      bool is_expired =
+          now_ >= (at++)->second.expiry + (is_replica ? expired_replica_retention : unowned_retention);
+      if (!is_expired) continue;
+      if (is_replica) group.dropped_expired = true, group.in_sync = false;
+      else actions_.relinquished.push_back(id_of(group, number));
+      erase_document(group, number);
     }
-    say("let go past their expiry, nobody can prove to own them", g, self_.member, g.docs.size());
+    log_event("dropped expired documents of unproven owner", group, self_.member, group.docs.size());
   }
 
-  // Groups that are over stay as a word on who owned them last, for one that returns late; not without end.
-  void forget() {
+  // Idle groups are kept to tell a relay that recovers late who owned them last, but only a limited number of
+  // them.
+  void prune_idle_groups() {
     std::size_t idle = 0;
-    for (auto& [id, g] : groups_) idle += is_idle(g);
-    for (auto at = groups_.begin(); at != groups_.end() && idle > notes_most;) {
+    for (auto& [id, group] : groups_) idle += is_idle(group);
+    for (auto at = groups_.begin(); at != groups_.end() && idle > max_idle_groups;) {
       if (!is_idle(at->second)) {
         ++at;
         continue;
       }
-      PersistentGroupState note{at->first, {}, {}, false, 0, true};
-      done_.states_to_persist.push_back(note);
+      PersistentGroupState state{at->first, {}, {}, false, 0, true};
+      actions_.states_to_persist.push_back(state);
       at = groups_.erase(at), --idle;
     }
   }
-  bool is_idle(const Group& g) const {
-    return g.id != current_ && g.docs.empty() &&
-           (g.role == Role::former ||
-            (g.role == Role::owner && g.views.size() == 1 && g.view().replicas.empty()));
+  bool is_idle(const Group& group) const {
+    return group.id != current_group_ && group.docs.empty() &&
+           (group.role == Role::inactive || (group.role == Role::owner && group.configurations.size() == 1 &&
+                                             group.configuration().replicas.empty()));
   }
 
-  Millis next_due() {
+  Millis next_wake_in() {
     Millis due = never;
     auto wake = [&](Millis when) { due = when > now_ ? std::min(due, when) : due; };
-    for (auto& [id, g] : groups_) {
-      if (g.asking) wake(g.asked_at + beat());
-      if (g.role == Role::owner) {
-        if (std::ranges::any_of(g.views, [](const Configuration& view) { return !view.replicas.empty(); }))
-          wake(g.beat_at);
-        if (!g.to_answer.empty())
-          if (auto found = g.docs.find(g.to_answer.front().second); found != g.docs.end())
-            wake(found->second.copied_by);
-        if (!g.asking && std::ranges::any_of(g.views, binds) && (g.higher > g.term() || !acts(g)))
-          wake(g.higher > g.term() ? g.try_at : std::max(g.try_at, g.led_at + set_.lease_duration));
-        wake(g.led_at + give_up_after * set_.lease_duration);
+    for (auto& [id, group] : groups_) {
+      if (group.is_candidate) wake(group.votes_requested_at + heartbeat_interval());
+      if (group.role == Role::owner) {
+        if (std::ranges::any_of(group.configurations, [](const Configuration& configuration) {
+              return !configuration.replicas.empty();
+            }))
+          wake(group.next_heartbeat_at);
+        if (!group.awaiting_replication.empty())
+          if (auto found = group.docs.find(group.awaiting_replication.front().second);
+              found != group.docs.end())
+            wake(found->second.replication_deadline);
+        if (!group.is_candidate && std::ranges::any_of(group.configurations, requires_lease) &&
+            (group.highest_seen_term > group.term() || !has_lease(group)))
+          wake(group.highest_seen_term > group.term()
+                   ? group.next_election_at
+                   : std::max(group.next_election_at, group.last_lease_at + settings_.lease_duration));
+        wake(group.last_lease_at + new_group_after_leases * settings_.lease_duration);
       }
-      if (g.role == Role::holder && binds(g.view()) && g.position.term.counter > 0 && !g.asking)
-        wake(std::max(g.try_at, g.given_until));
-      if (g.role == Role::returning) wake(g.asks_since + return_patience * set_.lease_duration);
+      if (group.role == Role::replica && requires_lease(group.configuration()) &&
+          group.log_position.term.counter > 0 && !group.is_candidate)
+        wake(std::max(group.next_election_at, group.lease_granted_until));
+      if (group.role == Role::recovering)
+        wake(group.recovery_started_at + recovery_timeout_leases * settings_.lease_duration);
     }
     return due >= never ? -1 : due - now_;
   }
 
-  static constexpr Rule<Keeper, Group> rules[] = {
-      {"votes are missing", &Keeper::wants_votes, &Keeper::ask},
-      {"elected", &Keeper::is_elected, &Keeper::elect},
-      {"a change is settled", &Keeper::is_settled, &Keeper::settle},
-      {"a holder has gone, or could come", &Keeper::wants_change, &Keeper::change},
-      {"the lease began", &Keeper::may_act, &Keeper::act},
-      {"no lease for long", &Keeper::lacks_lease_for_long, &Keeper::begin_anew},
-      {"copied", &Keeper::is_copied, &Keeper::answer_copied},
-      {"not copied in time", &Keeper::is_too_late, &Keeper::turn_away},
-      {"risks are noted", &Keeper::some_may_go, &Keeper::let_some_go},
-      {"an end is noted", &Keeper::end_is_noted, &Keeper::tell_end},
-      {"a beat", &Keeper::beat_is_due, &Keeper::send_beat},
-      {"news for a holder", &Keeper::has_news, &Keeper::send_news},
-      {"a holder catches up", &Keeper::catches_up, &Keeper::catch_up},
-      {"past their expiry", &Keeper::some_are_past, &Keeper::drop_past},
+  static constexpr Rule<LeaseBasedCustody, Group> rules[] = {
+      {"votes needed", &LeaseBasedCustody::should_request_votes, &LeaseBasedCustody::request_votes},
+      {"elected", &LeaseBasedCustody::is_elected, &LeaseBasedCustody::become_owner},
+      {"reconfiguration complete", &LeaseBasedCustody::can_retire_configurations,
+       &LeaseBasedCustody::retire_configurations},
+      {"replicas should change", &LeaseBasedCustody::should_reconfigure, &LeaseBasedCustody::reconfigure},
+      {"lease acquired", &LeaseBasedCustody::should_activate, &LeaseBasedCustody::activate},
+      {"no lease for too long", &LeaseBasedCustody::lacks_lease_too_long,
+       &LeaseBasedCustody::start_new_group},
+      {"document replicated", &LeaseBasedCustody::has_replicated_document,
+       &LeaseBasedCustody::accept_replicated},
+      {"replication timed out", &LeaseBasedCustody::replication_timed_out,
+       &LeaseBasedCustody::reject_unreplicated},
+      {"transmission committed", &LeaseBasedCustody::has_sendable_transmission,
+       &LeaseBasedCustody::clear_transmissions},
+      {"end committed", &LeaseBasedCustody::has_committed_end, &LeaseBasedCustody::report_end},
+      {"heartbeat due", &LeaseBasedCustody::heartbeat_due, &LeaseBasedCustody::send_heartbeat},
+      {"entries to send", &LeaseBasedCustody::has_entries_to_send, &LeaseBasedCustody::send_entries},
+      {"replica to resynchronize", &LeaseBasedCustody::has_replica_to_resync,
+       &LeaseBasedCustody::resync_replica},
+      {"documents expired", &LeaseBasedCustody::has_expired, &LeaseBasedCustody::drop_expired},
   };
 
   const RelayInstance self_;
-  const CustodySettings set_;
-  std::minstd_rand chance_;
-  std::vector<MemberId> ring_;  // the others, in the order in which they are wanted as holders
-  std::map<MemberId, std::string> names_;
-  std::map<MemberId, std::pair<Incarnation, MemberState>> known_;
-  std::set<Incarnation> lived_;
+  const CustodySettings settings_;
+  std::minstd_rand random_;
+  std::vector<MemberId> placement_order_;  // the other members, in order of preference as replicas
+  std::map<MemberId, std::string> member_names_;
+  std::map<MemberId, std::pair<Incarnation, MemberState>> members_;
+  std::set<Incarnation> past_incarnations_;
   std::map<GroupId, Group> groups_;
-  GroupId current_;
+  GroupId current_group_;
   Millis now_ = 0, started_ = -1;
-  bool room_ = true, leaving_ = false;
-  std::set<RelayInstance> leavers_;  // of other relays' lives
-  Statistics count_;
-  Actions done_;
+  bool has_capacity_ = true, leaving_ = false;
+  std::set<RelayInstance> leaving_instances_;  // other relays that are shutting down
+  Statistics statistics_;
+  Actions actions_;
 };
 
 }  // namespace
 
 std::unique_ptr<Custody> Custody::make(const Roster& roster, MemberId self, Incarnation own,
                                        const CustodySettings& settings, std::uint64_t seed) {
-  return std::make_unique<Keeper>(roster, self, own, settings, seed);
+  return std::make_unique<LeaseBasedCustody>(roster, self, own, settings, seed);
 }
 
 }  // namespace rockcrank::fleet
--- a/tests/fleet/custody_store_test.cpp
+++ b/tests/fleet/custody_store_test.cpp
@@ -1,4 +1,4 @@
-// What custody needs of the store: deeds, notes and the last number given outlast the process and a
+// What custody needs of the store: fleet ids, metadata and the last document number survive a restart and a
 // compaction.
 
 #include <gtest/gtest.h>
@@ -27,31 +27,30 @@
   std::string folder_;
 };
 
-TEST_F(CustodyStore, DeedsNotesAndTheLastNumberOutlastRestarts) {
+TEST_F(CustodyStore, FleetIdsMetadataAndTheLastNumberSurviveRestarts) {
   DocId kept{};
   {
     Store store(folder_, 1 << 20);
     kept = store.add(document("kept"));
-    store.record_accepted(kept), store.set_fleet_id(kept, "deed");
-    auto over = store.add(document("over"));
-    store.record_accepted(over), store.set_fleet_id(over, "other"), store.remove(over);
+    store.record_accepted(kept), store.set_fleet_id(kept, "fleet id");
+    auto removed = store.add(document("removed"));
+    store.record_accepted(removed), store.set_fleet_id(removed, "other"), store.remove(removed);
     store.set_metadata("group", "first"), store.set_metadata("group", std::string("a\0b", 3));
     store.set_metadata("gone", "x"), store.set_metadata("gone", "");
     ASSERT_TRUE(store.flush());
   }
-  // Each start compacts: the second reads what the first wrote anew.
+  // Each start compacts the store: the second one reads what the first one rewrote.
   for (int start = 0; start < 2; ++start) {
     Store store(folder_, 1 << 20);
     ASSERT_EQ(store.documents().size(), 1u);
-    EXPECT_EQ(store.documents().at(kept).fleet_id, "deed");
+    EXPECT_EQ(store.documents().at(kept).fleet_id, "fleet id");
     ASSERT_EQ(store.metadata().size(), 1u);
     EXPECT_EQ(store.metadata().at("group"), std::string("a\0b", 3));
-    EXPECT_EQ(store.last_doc_number(), 2u)
-        << "the number of the document that is over may not be given again";
+    EXPECT_EQ(store.last_doc_number(), 2u) << "the number of a removed document may not be assigned again";
   }
 }
 
-TEST_F(CustodyStore, ADocumentIsTheSameFromItsRecord) {
+TEST_F(CustodyStore, DocumentIsUnchangedByEncodingAndDecoding) {
   StoredDocument held = document("d1");
   held.order_key = "k", held.type.retry_safety = RetrySafety::keyed, held.type.idempotency_window = 5000;
   held.in_doubt.push_back({1, 7, ZoneId(2)}), held.transmissions = 2;
--- a/tests/fleet/custody_test.cpp
+++ b/tests/fleet/custody_test.cpp
@@ -1,7 +1,7 @@
-// Custody over a network of its own: several relays with clocks that run apart, links that delay, lose and
-// are cut (one way too), deaths, stalls, restarts with their folder, an old one or none. What must hold is
-// looked at after every event by a checker that knows nothing of terms, leases or copies; planted faults
-// prove that it can fail.
+// Runs custody on a simulated network: relays whose clocks run at different rates, links that delay, lose
+// messages and are cut (also in one direction), crashes, stalls, and restarts with the state directory, an
+// older copy of it or none. A checker that knows nothing of terms, leases or replicas verifies the guarantees
+// during the run; injected faults show that it can fail.
 
 #include "fleet/custody.h"
 
@@ -23,13 +23,13 @@
 struct Plan {
   int relays = 5;
   double seconds = 40;
-  bool wait = true;
-  bool cuts = true, kills = true, stalls = true, empties = true, olds = false, false_deaths = true,
-       leaves = true;
-  bool one_at_a_time = false;  // memory is lost by one relay at a time, and healed before the next
-  double clocks_apart = 0.02, drift = 0.02;
-  // Planted faults.
-  bool goes_early = false, tells_early = false, answers_early = false, sends_unowned = false;
+  bool wait_for_replica = true;
+  bool link_cuts = true, kills = true, stalls = true, emptied_directories = true, old_directories = false,
+       false_deaths = true, shutdowns = true;
+  bool one_at_a_time = false;  // one relay at a time loses its memory, and the group recovers before the next
+  double clock_skew = 0.02, max_clock_drift = 0.02;
+  // Injected faults that the checker must detect.
+  bool sends_early = false, reports_end_early = false, accepts_early = false, sends_unowned = false;
 };
 
 constexpr Millis lease = 1000, lifetime = 15000;
@@ -37,40 +37,43 @@
 class World {
  public:
   World(std::uint64_t seed, const Plan& plan)
-      : plan_(plan), chance_(static_cast<std::uint32_t>(seed * 7919 + 1)) {
+      : plan_(plan), random_(static_cast<std::uint32_t>(seed * 7919 + 1)) {
     for (int i = 0; i < plan.relays; ++i) {
       MemberId id{static_cast<std::uint64_t>(100 + 10 * i)};
       roster_.push_back({id, "n" + std::to_string(i), i % 2 ? "h1" : "h0"});
       nodes_[id];
     }
     for (auto& [id, node] : nodes_) {
-      node.rate = 1 + drawn(0, plan.clocks_apart) * (1 - 1e-9), node.offset = drawn(0, 1e7);
+      node.clock_rate = 1 + random_between(0, plan.clock_skew) * (1 - 1e-9),
+      node.clock_offset = random_between(0, 1e7);
       start(id);
     }
   }
 
   std::string run() {
-    at(drawn(100, 200), [this] { hand_in(); });
-    // One at a time: not before there are two copies of all.
-    at(plan_.one_at_a_time ? 5000 : drawn(500, 2500), [this] { harm(); });
+    schedule(random_between(100, 200), [this] { enqueue_document(); });
+    // With one failure at a time, the first waits until all documents have two replicas.
+    schedule(plan_.one_at_a_time ? 5000 : random_between(500, 2500), [this] { inject_fault(); });
     Millis end = plan_.seconds * 1000;
-    while (!events_.empty() && broken_.empty()) {
+    while (!events_.empty() && violation_.empty()) {
       auto event = events_.top();
       events_.pop();
       now_ = event.when;
       if (now_ > end && !healed_) heal();
-      bool over = std::ranges::all_of(nodes_, [](const auto& at) { return at.second.folder.docs.empty(); });
-      if (now_ > end + (over ? 3000 : 4 * lifetime)) break;
+      bool all_done =
+          std::ranges::all_of(nodes_, [](const auto& at) { return at.second.directory.docs.empty(); });
+      if (now_ > end + (all_done ? 3000 : 4 * lifetime)) break;
       event.what();
-      // A lease only ends by time; it begins in turns, and a document by what these tell.
-      if (now_ >= checked_ + 5 || began_) check_owners(), checked_ = now_, began_ = false;
+      // A lease ends only by time, and begins in a turn, in which the relay also learns of its documents.
+      if (now_ >= last_check_at_ + 5 || ownership_began_)
+        check_owners(), last_check_at_ = now_, ownership_began_ = false;
     }
-    if (broken_.empty() && plan_.one_at_a_time) check_ends();
-    return broken_;
+    if (violation_.empty() && plan_.one_at_a_time) check_ends();
+    return violation_;
   }
   int takeovers() const { return takeovers_; }
-  int answered() const {
-    return static_cast<int>(std::ranges::count_if(docs_, [](const auto& at) { return at.second.ok; }));
+  int accepted_documents() const {
+    return static_cast<int>(std::ranges::count_if(truth_, [](const auto& at) { return at.second.accepted; }));
   }
 
  private:
@@ -80,417 +83,443 @@
     std::function<void()> what;
     bool operator<(const Event& o) const { return when != o.when ? when > o.when : number > o.number; }
   };
-  struct OnDisk {
-    GlobalDocId deed;
-    int world = 0, transmissions = 0;
-    bool binding = false, ended = false;
+  struct StoredDoc {
+    GlobalDocId id;
+    int document = 0, transmissions = 0;
+    bool non_idempotent = false, ended = false;
     Millis expiry = 0;
-    std::vector<int> risks;
+    std::vector<int> in_doubt;
   };
-  struct Folder {
-    std::map<GroupId, PersistentGroupState> notes;
-    std::map<std::uint64_t, OnDisk> docs;
-    std::set<Incarnation> lives;
-    std::uint64_t highest = 0;
+  struct StateDirectory {
+    std::map<GroupId, PersistentGroupState> groups;
+    std::map<std::uint64_t, StoredDoc> docs;
+    std::set<Incarnation> incarnations;
+    std::uint64_t highest_document = 0;
   };
   struct Node {
     std::unique_ptr<Custody> custody;
-    Incarnation life;
-    Folder folder;
-    std::vector<Folder> snapshots;
-    std::map<GlobalDocId, std::uint64_t> numbers;  // of the folder
-    std::set<std::uint64_t> owed, out, held_back;
-    double rate = 1, offset = 0;
-    Millis stalled_until = 0, wake = 0;
-    std::map<MemberId, std::pair<Incarnation, MemberState>> told;
-    bool up() const { return custody != nullptr; }
+    Incarnation incarnation;
+    StateDirectory directory;
+    std::vector<StateDirectory> snapshots;
+    std::map<GlobalDocId, std::uint64_t> document_numbers;  // number in the state directory
+    std::set<std::uint64_t> active, in_flight, held_back;
+    double clock_rate = 1, clock_offset = 0;
+    Millis stalled_until = 0, wake_at = 0;
+    std::map<MemberId, std::pair<Incarnation, MemberState>> reported_states;
+    bool is_up() const { return custody != nullptr; }
   };
-  // A document as the world sees it.
-  struct Seen {
-    bool binding = false, ok = false, busy = false, delivered = false, told = false;
-    int ran = 0;
+  // What really happened to a document.
+  struct GroundTruth {
+    bool non_idempotent = false, accepted = false, not_accepted = false, delivered = false,
+         end_reported = false;
+    int run_count = 0;
     Millis expiry = 0;
   };
 
-  double drawn(double low, double high) { return std::uniform_real_distribution<double>(low, high)(chance_); }
-  bool one_in(int n) { return chance_() % static_cast<unsigned>(n) == 0; }
-  void at(Millis in, std::function<void()> what) { events_.push({now_ + in, ++number_, std::move(what)}); }
+  double random_between(double low, double high) {
+    return std::uniform_real_distribution<double>(low, high)(random_);
+  }
+  bool one_in(int n) { return random_() % static_cast<unsigned>(n) == 0; }
+  void schedule(Millis in, std::function<void()> what) {
+    events_.push({now_ + in, ++event_count_, std::move(what)});
+  }
   template <typename... Args>
-  void trace(const char* format, Args... args) const {  // TRACE
+  void trace(const char* format, Args... args) const {
     if (!std::getenv("CUSTODY_TRACE")) return;
     std::printf("%9.1f ", now_), std::printf(format, args...), std::puts("");
   }
-  void broken(const std::string& what) {
-    trace("BROKEN %s", what.c_str());
-    if (broken_.empty()) broken_ = what + " at " + std::to_string(now_);
+  void fail(const std::string& what) {
+    trace("violation: %s", what.c_str());
+    if (violation_.empty()) violation_ = what + " at " + std::to_string(now_);
   }
-  Millis clock(const Node& node) const { return node.offset + now_ * node.rate; }
-  bool awake(const Node& node) const { return node.up() && now_ >= node.stalled_until; }
+  Millis clock(const Node& node) const { return node.clock_offset + now_ * node.clock_rate; }
+  bool is_running(const Node& node) const { return node.is_up() && now_ >= node.stalled_until; }
 
   void start(MemberId id) {
     Node& node = nodes_[id];
-    node.life = {std::max(static_cast<std::uint64_t>(now_) + 1,
-                          node.folder.lives.empty() ? 0 : node.folder.lives.rbegin()->number + 1),
-                 chance_()};
-    trace("start %llu life %llu with %zu docs %zu notes", (unsigned long long)id,
-          (unsigned long long)node.life.number, node.folder.docs.size(), node.folder.notes.size());
-    node.custody = Custody::make(roster_, id, node.life, {lease, plan_.drift, 200, plan_.wait}, chance_());
+    node.incarnation = {
+        std::max(static_cast<std::uint64_t>(now_) + 1,
+                 node.directory.incarnations.empty() ? 0 : node.directory.incarnations.rbegin()->number + 1),
+        random_()};
+    trace("start %llu, incarnation %llu, with %zu documents in %zu groups", (unsigned long long)id,
+          (unsigned long long)node.incarnation.number, node.directory.docs.size(),
+          node.directory.groups.size());
+    node.custody = Custody::make(roster_, id, node.incarnation,
+                                 {lease, plan_.max_clock_drift, 200, plan_.wait_for_replica}, random_());
     node.custody->begin_turn(clock(node));
-    for (const auto& life : node.folder.lives) node.custody->add_past_incarnation(life);
-    node.folder.lives.insert(node.life);
-    for (const auto& [group, note] : node.folder.notes) node.custody->restore_group(note);
-    node.numbers.clear(), node.owed.clear(), node.out.clear(), node.held_back.clear(), node.told.clear();
+    for (const auto& incarnation : node.directory.incarnations)
+      node.custody->add_past_incarnation(incarnation);
+    node.directory.incarnations.insert(node.incarnation);
+    for (const auto& [group, state] : node.directory.groups) node.custody->restore_group(state);
+    node.document_numbers.clear(), node.active.clear(), node.in_flight.clear(), node.held_back.clear(),
+        node.reported_states.clear();
     node.stalled_until = 0;
-    for (const auto& [number, doc] : node.folder.docs) {
-      node.numbers[doc.deed] = number;
-      node.custody->restore_document(papers_of(doc), node.folder.highest);
+    for (const auto& [number, doc] : node.directory.docs) {
+      node.document_numbers[doc.id] = number;
+      node.custody->restore_document(state_of(doc), node.directory.highest_document);
     }
-    for (auto& [other, there] : nodes_) see_soon(id, other), see_soon(other, id);
-    turn(id);
+    for (auto& [other, there] : nodes_) schedule_detection(id, other), schedule_detection(other, id);
+    run_turn(id);
   }
-  DocumentState papers_of(const OnDisk& doc) {
-    DocumentState papers;
-    papers.id = doc.deed, papers.record = std::to_string(doc.world), papers.time_left = doc.expiry - now_;
-    papers.transmission_count = doc.transmissions, papers.replicate_before_send = doc.binding,
-    papers.ended = doc.ended;
-    for (int risk : doc.risks) papers.in_doubt.push_back({risk, 0, {}});
-    return papers;
+  DocumentState state_of(const StoredDoc& doc) {
+    DocumentState state;
+    state.id = doc.id, state.record = std::to_string(doc.document), state.time_left = doc.expiry - now_;
+    state.transmission_count = doc.transmissions, state.replicate_before_send = doc.non_idempotent,
+    state.ended = doc.ended;
+    for (int transmission : doc.in_doubt) state.in_doubt.push_back({transmission, 0, {}});
+    return state;
   }
 
-  // Who is alive, as each finds out in its own time.
-  void see_soon(MemberId by, MemberId of) {
-    if (by != of) at(drawn(100, 1500), [=, this] { see(by, of); });
+  // Failure detection: each relay notices a change after its own delay.
+  void schedule_detection(MemberId by, MemberId of) {
+    if (by != of) schedule(random_between(100, 1500), [=, this] { detect_state(by, of); });
   }
-  void see(MemberId by, MemberId of) {
+  void detect_state(MemberId by, MemberId of) {
     Node& node = nodes_[by];
     const Node& other = nodes_[of];
-    if (!awake(node)) return;
-    bool reach = awake(other) && !cut_.count({by, of}) && !cut_.count({of, by});
-    auto& told = node.told[of];
-    std::pair next{reach ? other.life : told.first, reach ? MemberState::alive : MemberState::dead};
-    if (next == told) return;
-    told = next;
-    if (told.first.number == 0) return;
+    if (!is_running(node)) return;
+    bool reachable = is_running(other) && !cut_links_.count({by, of}) && !cut_links_.count({of, by});
+    auto& reported = node.reported_states[of];
+    std::pair next{reachable ? other.incarnation : reported.first,
+                   reachable ? MemberState::alive : MemberState::dead};
+    if (next == reported) return;
+    reported = next;
+    if (reported.first.number == 0) return;
     node.custody->begin_turn(clock(node));
-    node.custody->on_member_change(of, told.first, told.second);
-    turn(by);
+    node.custody->on_member_change(of, reported.first, reported.second);
+    run_turn(by);
   }
 
-  void post(MemberId from, MemberId to, const CustodyMessage& message) {
-    if (cut_.count({from, to})) return;
-    auto& free = free_[{from, to}];
-    auto epoch = cuts_[{from, to}];
-    free = std::max(free, now_ + drawn(0.2, one_in(50) ? 150 : 5));
-    at(free - now_, [=, this, bytes = peer::packed(message)] { deliver(from, to, epoch, bytes); });
+  void send_message(MemberId from, MemberId to, const CustodyMessage& message) {
+    if (cut_links_.count({from, to})) return;
+    auto& free_at = link_free_at_[{from, to}];
+    auto epoch = link_epochs_[{from, to}];
+    free_at = std::max(free_at, now_ + random_between(0.2, one_in(50) ? 150 : 5));
+    schedule(free_at - now_, [=, this, bytes = peer::packed(message)] { deliver(from, to, epoch, bytes); });
   }
   void deliver(MemberId from, MemberId to, int epoch, const std::string& bytes) {
     Node& node = nodes_[to];
-    if (!node.up() || epoch != cuts_[{from, to}]) return;
-    if (!awake(node)) return at(node.stalled_until - now_, [=, this] { deliver(from, to, epoch, bytes); });
+    if (!node.is_up() || epoch != link_epochs_[{from, to}]) return;
+    if (!is_running(node))
+      return schedule(node.stalled_until - now_, [=, this] { deliver(from, to, epoch, bytes); });
     node.custody->begin_turn(clock(node));
     node.custody->on_message(from, peer::unpacked<CustodyMessage>(bytes));
-    turn(to);
+    run_turn(to);
   }
 
-  // The host: what its module decides, in its order.
-  void turn(MemberId id) {
+  // The host: carries out the module's decisions in the prescribed order.
+  void run_turn(MemberId id) {
     Node& node = nodes_[id];
-    if (!awake(node)) return;
+    if (!is_running(node)) return;
     node.custody->begin_turn(clock(node));
-    auto decided = node.custody->decide();
-    for (const auto& note : decided.states_to_persist) {
-      if (note.deleted) node.folder.notes.erase(note.group);
-      else node.folder.notes[note.group] = note;
+    auto actions = node.custody->decide();
+    for (const auto& state : actions.states_to_persist) {
+      if (state.deleted) node.directory.groups.erase(state.group);
+      else node.directory.groups[state.group] = state;
     }
-    for (const auto& line : decided.log_lines) trace("%llu: %s", (unsigned long long)id, line.c_str());
-    for (const auto& deed : decided.accepted) answer(id, deed, true);
-    for (const auto& deed : decided.not_accepted) answer(id, deed, false);
-    for (const auto& [from, to] : decided.renumbered) {
-      auto number = node.numbers.at(from);
-      node.numbers.erase(from), node.numbers[to] = number, node.folder.docs[number].deed = to;
+    for (const auto& line : actions.log_lines) trace("%llu: %s", (unsigned long long)id, line.c_str());
+    for (const auto& doc_id : actions.accepted) on_acceptance(id, doc_id, true);
+    for (const auto& doc_id : actions.not_accepted) on_acceptance(id, doc_id, false);
+    for (const auto& [from, to] : actions.renumbered) {
+      auto number = node.document_numbers.at(from);
+      node.document_numbers.erase(from), node.document_numbers[to] = number,
+                                         node.directory.docs[number].id = to;
     }
-    for (const auto& deed : decided.relinquished)
-      if (node.numbers.count(deed)) drop(node, node.numbers.at(deed));
-    takeovers_ += !decided.taken_over.empty();
-    began_ = began_ || !decided.taken_over.empty() || !decided.resumed.empty();
-    for (const auto& deed : decided.suspended)
-      if (node.numbers.count(deed)) node.owed.erase(node.numbers.at(deed));
-    for (auto list : {&decided.taken_over, &decided.resumed})
-      for (const auto& papers : *list) {
-        if (!node.numbers.count(papers.id)) node.numbers[papers.id] = ++node.folder.highest;
-        auto number = node.numbers[papers.id];
-        OnDisk& doc = node.folder.docs[number];
-        doc.deed = papers.id, doc.world = std::stoi(papers.record), doc.expiry = now_ + papers.time_left;
-        doc.binding = papers.replicate_before_send, doc.ended = papers.ended;
-        doc.transmissions = papers.transmission_count, doc.risks.clear();
-        for (const auto& risk : papers.in_doubt) doc.risks.push_back(risk.number);
-        node.owed.insert(number);
-        trace("%llu %s doc %d with %zu risks as %llu", (unsigned long long)id,
-              list == &decided.taken_over ? "takes" : "regains", doc.world, doc.risks.size(),
+    for (const auto& doc_id : actions.relinquished)
+      if (node.document_numbers.count(doc_id)) erase_document(node, node.document_numbers.at(doc_id));
+    takeovers_ += !actions.taken_over.empty();
+    ownership_began_ = ownership_began_ || !actions.taken_over.empty() || !actions.resumed.empty();
+    for (const auto& doc_id : actions.suspended)
+      if (node.document_numbers.count(doc_id)) node.active.erase(node.document_numbers.at(doc_id));
+    for (auto list : {&actions.taken_over, &actions.resumed})
+      for (const auto& state : *list) {
+        if (!node.document_numbers.count(state.id))
+          node.document_numbers[state.id] = ++node.directory.highest_document;
+        auto number = node.document_numbers[state.id];
+        StoredDoc& doc = node.directory.docs[number];
+        doc.id = state.id, doc.document = std::stoi(state.record), doc.expiry = now_ + state.time_left;
+        doc.non_idempotent = state.replicate_before_send, doc.ended = state.ended;
+        doc.transmissions = state.transmission_count, doc.in_doubt.clear();
+        for (const auto& transmission : state.in_doubt) doc.in_doubt.push_back(transmission.number);
+        node.active.insert(number);
+        trace("%llu %s document %d with %zu transmissions in doubt as %llu", (unsigned long long)id,
+              list == &actions.taken_over ? "takes over" : "resumes", doc.document, doc.in_doubt.size(),
               (unsigned long long)number);
-        go_on(id, number);
+        schedule_transmission(id, number);
       }
-    for (const auto& [deed, transmission] : decided.cleared_transmissions)
-      if (node.numbers.count(deed)) call(id, node.numbers.at(deed), transmission);
-    for (const auto& deed : decided.reportable_ends)
-      if (node.numbers.count(deed)) tell(id, node.numbers.at(deed));
-    for (const auto& send : decided.sends) post(id, send.to, send.message);
-    if (decided.wake_in >= 0) {
-      auto when = now_ + decided.wake_in / node.rate;
-      node.wake = when;
-      auto life = node.life;
-      at(when - now_, [=, this] {
+    for (const auto& [doc_id, transmission] : actions.cleared_transmissions)
+      if (node.document_numbers.count(doc_id)) transmit(id, node.document_numbers.at(doc_id), transmission);
+    for (const auto& doc_id : actions.reportable_ends)
+      if (node.document_numbers.count(doc_id)) report_end(id, node.document_numbers.at(doc_id));
+    for (const auto& send : actions.sends) send_message(id, send.to, send.message);
+    if (actions.wake_in >= 0) {
+      auto when = now_ + actions.wake_in / node.clock_rate;
+      node.wake_at = when;
+      auto incarnation = node.incarnation;
+      schedule(when - now_, [=, this] {
         Node& node = nodes_[id];
-        if (node.life != life || node.wake != when || !node.up()) return;
-        if (!awake(node)) return;  // it turns when it wakes
-        turn(id);
+        if (node.incarnation != incarnation || node.wake_at != when || !node.is_up()) return;
+        if (!is_running(node)) return;  // a turn runs when the stall ends
+        run_turn(id);
       });
     }
   }
-  void drop(Node& node, std::uint64_t number) {
-    node.numbers.erase(node.folder.docs[number].deed);
-    node.folder.docs.erase(number), node.owed.erase(number), node.out.erase(number);
+  void erase_document(Node& node, std::uint64_t number) {
+    node.document_numbers.erase(node.directory.docs[number].id);
+    node.directory.docs.erase(number), node.active.erase(number), node.in_flight.erase(number);
   }
 
-  void hand_in() {
+  void enqueue_document() {
     if (healed_) return;
-    at(drawn(5, 120), [this] { hand_in(); });
-    auto id = roster_[chance_() % roster_.size()].id;
+    schedule(random_between(5, 120), [this] { enqueue_document(); });
+    auto id = roster_[random_() % roster_.size()].id;
     Node& node = nodes_[id];
-    if (!awake(node)) return;
-    int world = ++world_;
-    OnDisk doc;
-    doc.world = world, doc.binding = one_in(2), doc.expiry = now_ + drawn(0.3, 1) * lifetime;
-    auto number = ++node.folder.highest;
+    if (!is_running(node)) return;
+    int document = ++last_document_;
+    StoredDoc doc;
+    doc.document = document, doc.non_idempotent = one_in(2),
+    doc.expiry = now_ + random_between(0.3, 1) * lifetime;
+    auto number = ++node.directory.highest_document;
     node.custody->begin_turn(clock(node));
-    doc.deed = node.custody->next_document_id(number);
-    docs_[world].binding = doc.binding, docs_[world].expiry = doc.expiry;
-    node.numbers[doc.deed] = number, node.folder.docs[number] = doc, node.owed.insert(number);
-    node.custody->accept(papers_of(doc));
-    if (plan_.answers_early) docs_[world].ok = true;
-    if (node.custody->is_accepted(doc.deed)) answer(id, doc.deed, true);
-    turn(id);
-    go_on(id, number);
+    doc.id = node.custody->next_document_id(number);
+    truth_[document].non_idempotent = doc.non_idempotent, truth_[document].expiry = doc.expiry;
+    node.document_numbers[doc.id] = number, node.directory.docs[number] = doc, node.active.insert(number);
+    node.custody->accept(state_of(doc));
+    if (plan_.accepts_early) truth_[document].accepted = true;
+    if (node.custody->is_accepted(doc.id)) on_acceptance(id, doc.id, true);
+    run_turn(id);
+    schedule_transmission(id, number);
   }
-  void answer(MemberId id, const GlobalDocId& deed, bool taken) {
+  void on_acceptance(MemberId id, const GlobalDocId& doc_id, bool accepted) {
     Node& node = nodes_[id];
-    if (!node.numbers.count(deed)) return;
-    auto number = node.numbers.at(deed);
-    Seen& seen = docs_[node.folder.docs[number].world];
-    trace("%llu answers doc %d %d", (unsigned long long)id, node.folder.docs[number].world, taken);
-    (taken ? seen.ok : seen.busy) = taken || !plan_.answers_early;
-    if (seen.ok && seen.busy) broken("answered twice");
-    if (!taken && seen.ran > 0 && seen.binding) broken("sent, and its client told to come again");
-    if (!taken) drop(node, number);
+    if (!node.document_numbers.count(doc_id)) return;
+    auto number = node.document_numbers.at(doc_id);
+    GroundTruth& truth = truth_[node.directory.docs[number].document];
+    trace("%llu answers document %d, accepted: %d", (unsigned long long)id,
+          node.directory.docs[number].document, accepted);
+    (accepted ? truth.accepted : truth.not_accepted) = accepted || !plan_.accepts_early;
+    if (truth.accepted && truth.not_accepted) fail("accepted and not accepted");
+    if (!accepted && truth.run_count > 0 && truth.non_idempotent)
+      fail("sent, but its client was told to retry");
+    if (!accepted) erase_document(node, number);
   }
 
-  // The decision module, in short: a document goes now and then until it has its end.
-  void go_on(MemberId id, std::uint64_t number) {
-    auto life = nodes_[id].life;
-    at(drawn(1, 3000), [=, this] {
+  // A minimal decision module: sends a document at random times until it has an end.
+  void schedule_transmission(MemberId id, std::uint64_t number) {
+    auto incarnation = nodes_[id].incarnation;
+    schedule(random_between(1, 3000), [=, this] {
       Node& node = nodes_[id];
-      if (!node.up() || node.life != life) return;
-      if (!awake(node)) return go_on(id, number);
-      if (!node.owed.count(number) || node.out.count(number)) return;
+      if (!node.is_up() || node.incarnation != incarnation) return;
+      if (!is_running(node)) return schedule_transmission(id, number);
+      if (!node.active.count(number) || node.in_flight.count(number)) return;
       node.custody->begin_turn(clock(node));
-      OnDisk& doc = node.folder.docs[number];
-      if (!node.custody->owns(doc.deed)) {
-        if (plan_.sends_unowned) call(id, number, doc.transmissions++);
-        return go_on(id, number);
+      StoredDoc& doc = node.directory.docs[number];
+      if (!node.custody->owns(doc.id)) {
+        if (plan_.sends_unowned) transmit(id, number, doc.transmissions++);
+        return schedule_transmission(id, number);
       }
-      bool late = now_ >= doc.expiry || doc.transmissions >= 4;
-      if (doc.ended || late || (doc.binding && !doc.risks.empty())) return end(id, number);
+      bool exhausted = now_ >= doc.expiry || doc.transmissions >= 4;
+      if (doc.ended || exhausted || (doc.non_idempotent && !doc.in_doubt.empty()))
+        return end_document(id, number);
       int transmission = doc.transmissions++;
-      doc.risks.push_back(transmission);
-      node.custody->record_transmission(doc.deed, transmission, {});
-      node.out.insert(number);
-      bool may = plan_.goes_early || node.custody->may_send(doc.deed, transmission);
-      if (may) call(id, number, transmission);
-      turn(id);
+      doc.in_doubt.push_back(transmission);
+      node.custody->record_transmission(doc.id, transmission, {});
+      node.in_flight.insert(number);
+      bool may_send = plan_.sends_early || node.custody->may_send(doc.id, transmission);
+      if (may_send) transmit(id, number, transmission);
+      run_turn(id);
     });
   }
-  void call(MemberId id, std::uint64_t number, int transmission) {
+  void transmit(MemberId id, std::uint64_t number, int transmission) {
     Node& node = nodes_[id];
-    const OnDisk& doc = node.folder.docs[number];
-    Seen& seen = docs_[doc.world];
-    trace("%llu calls doc %d (binding %d) transmission %d", (unsigned long long)id, doc.world, doc.binding,
-          transmission);
-    auto life = node.life;
-    auto deed = doc.deed;
-    if (!node.custody->owns(deed) && !plan_.sends_unowned) broken("sent by one that does not own it");
-    if (seen.told) broken("sent after its end was told");
-    if (seen.busy && doc.binding) broken("sent after its client was told to come again");
-    int ending = static_cast<int>(chance_() % 3);  // 0: it never ran, 1: it ran, 2: it ran, and nobody knows
-    if (ending > 0 && ++seen.ran > 1 && doc.binding) broken("a binding document ran twice");
-    if (ending == 1) seen.delivered = true;
-    at(drawn(1, 400), [=, this] { came_back(id, life, deed, transmission, ending); });
+    const StoredDoc& doc = node.directory.docs[number];
+    GroundTruth& truth = truth_[doc.document];
+    trace("%llu sends document %d (idempotent: %d), transmission %d", (unsigned long long)id, doc.document,
+          !doc.non_idempotent, transmission);
+    auto incarnation = node.incarnation;
+    auto doc_id = doc.id;
+    if (!node.custody->owns(doc_id) && !plan_.sends_unowned) fail("sent by a relay that does not own it");
+    if (truth.end_reported) fail("sent after its end was reported");
+    if (truth.not_accepted && doc.non_idempotent) fail("sent after its client was told to retry");
+    // 0: it never ran, 1: it ran, 2: it ran, but the outcome is unknown.
+    int result = static_cast<int>(random_() % 3);
+    if (result > 0 && ++truth.run_count > 1 && doc.non_idempotent)
+      fail("a document that is not idempotent ran twice");
+    if (result == 1) truth.delivered = true;
+    schedule(random_between(1, 400), [=, this] { on_result(id, incarnation, doc_id, transmission, result); });
   }
-  void came_back(MemberId id, Incarnation life, const GlobalDocId& deed, int transmission, int ending) {
+  void on_result(MemberId id, Incarnation incarnation, const GlobalDocId& doc_id, int transmission,
+                 int result) {
     Node& node = nodes_[id];
-    if (!node.up() || node.life != life) return;
-    if (!awake(node)) return at(50, [=, this] { came_back(id, life, deed, transmission, ending); });
-    if (!node.numbers.count(deed)) return;
-    auto number = node.numbers.at(deed);
-    OnDisk& doc = node.folder.docs[number];
+    if (!node.is_up() || node.incarnation != incarnation) return;
+    if (!is_running(node))
+      return schedule(50, [=, this] { on_result(id, incarnation, doc_id, transmission, result); });
+    if (!node.document_numbers.count(doc_id)) return;
+    auto number = node.document_numbers.at(doc_id);
+    StoredDoc& doc = node.directory.docs[number];
     node.custody->begin_turn(clock(node));
-    node.out.erase(number);
-    trace("%llu came back doc %d ending %d", (unsigned long long)id, doc.world, ending);
-    if (ending == 1) {
-      node.custody->remove(deed);
-      drop(node, number);
+    node.in_flight.erase(number);
+    trace("%llu gets result %d of document %d", (unsigned long long)id, result, doc.document);
+    if (result == 1) {
+      node.custody->remove(doc_id);
+      erase_document(node, number);
     } else {
-      if (ending == 0) {
-        std::erase(doc.risks, transmission);
-        node.custody->record_never_ran(deed, transmission);
+      if (result == 0) {
+        std::erase(doc.in_doubt, transmission);
+        node.custody->record_never_ran(doc_id, transmission);
       }
-      go_on(id, number);
+      schedule_transmission(id, number);
     }
-    turn(id);
+    run_turn(id);
   }
-  void end(MemberId id, std::uint64_t number) {
+  void end_document(MemberId id, std::uint64_t number) {
     Node& node = nodes_[id];
-    OnDisk& doc = node.folder.docs[number];
-    if (!std::exchange(doc.ended, true)) node.custody->record_ended(doc.deed, std::to_string(doc.world));
-    if (plan_.tells_early || node.custody->may_report_end(doc.deed)) tell(id, number);
-    turn(id);
+    StoredDoc& doc = node.directory.docs[number];
+    if (!std::exchange(doc.ended, true)) node.custody->record_ended(doc.id, std::to_string(doc.document));
+    if (plan_.reports_end_early || node.custody->may_report_end(doc.id)) report_end(id, number);
+    run_turn(id);
   }
-  void tell(MemberId id, std::uint64_t number) {
+  void report_end(MemberId id, std::uint64_t number) {
     Node& node = nodes_[id];
-    OnDisk doc = node.folder.docs[number];
-    if (!node.custody->owns(doc.deed)) broken("ended by one that does not own it");
-    docs_[doc.world].told = true;
-    node.custody->remove(doc.deed);
-    drop(node, number);
+    StoredDoc doc = node.directory.docs[number];
+    if (!node.custody->owns(doc.id)) fail("ended by a relay that does not own it");
+    truth_[doc.document].end_reported = true;
+    node.custody->remove(doc.id);
+    erase_document(node, number);
   }
 
   // Faults.
-  void harm() {
+  void inject_fault() {
     if (healed_) return;
-    at(plan_.one_at_a_time ? drawn(9000, 12000) : drawn(100, 2500), [this] { harm(); });
-    auto id = roster_[chance_() % roster_.size()].id, other = roster_[chance_() % roster_.size()].id;
+    schedule(plan_.one_at_a_time ? random_between(9000, 12000) : random_between(100, 2500),
+             [this] { inject_fault(); });
+    auto id = roster_[random_() % roster_.size()].id, other = roster_[random_() % roster_.size()].id;
     Node& node = nodes_[id];
-    node.snapshots.push_back(node.folder);
-    if (plan_.leaves && one_in(6) && awake(node)) {
+    node.snapshots.push_back(node.directory);
+    if (plan_.shutdowns && one_in(6) && is_running(node)) {
       node.custody->leave();
-      return at(drawn(1000, 3500), [=, this] { kill(id); });
+      return schedule(random_between(1000, 3500), [=, this] { kill(id); });
     }
-    switch (chance_() % 5) {
+    switch (random_() % 5) {
       case 0:
       case 1: return kill(id);
       case 2:
-        if (!plan_.stalls || !awake(node)) return;
-        node.stalled_until = now_ + drawn(100, 4000);
+        if (!plan_.stalls || !is_running(node)) return;
+        node.stalled_until = now_ + random_between(100, 4000);
         trace("stall %llu until %.1f", (unsigned long long)id, node.stalled_until);
-        for (auto& [by, there] : nodes_) see_soon(by, id);
-        return at(node.stalled_until - now_, [=, this] {
-          turn(id);
-          for (auto& [by, there] : nodes_) see_soon(by, id), see_soon(id, by);
+        for (auto& [by, there] : nodes_) schedule_detection(by, id);
+        return schedule(node.stalled_until - now_, [=, this] {
+          run_turn(id);
+          for (auto& [by, there] : nodes_) schedule_detection(by, id), schedule_detection(id, by);
         });
       case 3:
-        if (!plan_.cuts || id == other) return;
-        // One link or all of one relay's, both ways or one.
-        for (bool alone = one_in(2), out = !one_in(4), in = !out || !one_in(4);
+        if (!plan_.link_cuts || id == other) return;
+        // One link or all links of a relay, in both directions or in one.
+        for (bool all_links = one_in(2), out = !one_in(4), in = !out || !one_in(4);
              const auto& [there, at] : nodes_) {
-          if (there == id || (!alone && there != other)) continue;
-          if (out) cut(id, there);
-          if (in) cut(there, id);
+          if (there == id || (!all_links && there != other)) continue;
+          if (out) cut_link(id, there);
+          if (in) cut_link(there, id);
         }
-        return at(drawn(100, plan_.one_at_a_time ? 3000 : 6000), [=, this] {
+        return schedule(random_between(100, plan_.one_at_a_time ? 3000 : 6000), [=, this] {
           for (const auto& [there, node] : nodes_)
-            if (there != id) join(id, there);
+            if (there != id) restore_link(id, there);
         });
       default:
-        if (!plan_.false_deaths || id == other || !awake(node) || !node.told.count(other)) return;
-        if (node.told[other].first.number == 0) return;
-        node.told[other].second = MemberState::dead;
+        if (!plan_.false_deaths || id == other || !is_running(node) || !node.reported_states.count(other))
+          return;
+        if (node.reported_states[other].first.number == 0) return;
+        node.reported_states[other].second = MemberState::dead;
         node.custody->begin_turn(clock(node));
-        node.custody->on_member_change(other, node.told[other].first, MemberState::dead);
-        turn(id), see_soon(id, other);
+        node.custody->on_member_change(other, node.reported_states[other].first, MemberState::dead);
+        run_turn(id), schedule_detection(id, other);
     }
   }
   void kill(MemberId id) {
     Node& node = nodes_[id];
-    if (!plan_.kills || !node.up()) return;
+    if (!plan_.kills || !node.is_up()) return;
     trace("kill %llu", (unsigned long long)id);
     node.custody.reset();
-    for (auto& [by, there] : nodes_) see_soon(by, id), cuts_[{id, by}]++, cuts_[{by, id}]++;
-    bool empty = plan_.empties && one_in(3), old = plan_.olds && one_in(3);
-    at(drawn(20, 5000), [=, this] {
+    for (auto& [by, there] : nodes_)
+      schedule_detection(by, id), link_epochs_[{id, by}]++, link_epochs_[{by, id}]++;
+    bool empty = plan_.emptied_directories && one_in(3), old = plan_.old_directories && one_in(3);
+    schedule(random_between(20, 5000), [=, this] {
       Node& node = nodes_[id];
-      if (node.up()) return;
-      auto lives = node.folder.lives;
-      if (empty) node.folder = {};
-      else if (old) node.folder = node.snapshots[chance_() % node.snapshots.size()];
+      if (node.is_up()) return;
+      auto incarnations = node.directory.incarnations;
+      if (empty) node.directory = {};
+      else if (old) node.directory = node.snapshots[random_() % node.snapshots.size()];
       start(id);
     });
   }
-  void cut(MemberId from, MemberId to) {
-    cut_.insert({from, to}), ++cuts_[{from, to}];
-    trace("cut %llu to %llu", (unsigned long long)from, (unsigned long long)to);
+  void cut_link(MemberId from, MemberId to) {
+    cut_links_.insert({from, to}), ++link_epochs_[{from, to}];
+    trace("cut link from %llu to %llu", (unsigned long long)from, (unsigned long long)to);
     for (auto [by, of] : {std::pair{from, to}, {to, from}}) {
-      see_soon(by, of);
-      if (awake(nodes_[by]) && one_in(2)) nodes_[by].custody->on_link_change(of, false), turn(by);
+      schedule_detection(by, of);
+      if (is_running(nodes_[by]) && one_in(2)) nodes_[by].custody->on_link_change(of, false), run_turn(by);
     }
   }
-  void join(MemberId a, MemberId b) {
-    cut_.erase({a, b}), cut_.erase({b, a});
-    trace("join %llu and %llu", (unsigned long long)a, (unsigned long long)b);
+  void restore_link(MemberId a, MemberId b) {
+    cut_links_.erase({a, b}), cut_links_.erase({b, a});
+    trace("restore link of %llu and %llu", (unsigned long long)a, (unsigned long long)b);
     for (auto [by, of] : {std::pair{a, b}, {b, a}}) {
-      see_soon(by, of);
-      if (awake(nodes_[by]))
+      schedule_detection(by, of);
+      if (is_running(nodes_[by]))
         nodes_[by].custody->begin_turn(clock(nodes_[by])), nodes_[by].custody->on_link_change(of, true),
-            turn(by);
+            run_turn(by);
     }
   }
   void heal() {
     healed_ = true;
-    cut_.clear();
+    cut_links_.clear();
     for (auto& [id, node] : nodes_) {
-      if (!node.up()) start(id);
+      if (!node.is_up()) start(id);
       for (auto& [other, there] : nodes_)
-        if (id != other) join(id, other);
+        if (id != other) restore_link(id, other);
     }
   }
 
-  // What must hold.
+  // Guarantees.
   void check_owners() {
     std::map<int, MemberId> owner;
     for (auto& [id, node] : nodes_) {
-      if (!awake(node)) continue;
+      if (!is_running(node)) continue;
       node.custody->begin_turn(clock(node));
-      for (const auto& [number, doc] : node.folder.docs)
-        if (node.custody->owns(doc.deed))
-          if (auto [at, fresh] = owner.try_emplace(doc.world, id); !fresh)
-            broken("document " + std::to_string(doc.world) + " has two owners");
+      for (const auto& [number, doc] : node.directory.docs)
+        if (node.custody->owns(doc.id))
+          if (auto [at, is_new] = owner.try_emplace(doc.document, id); !is_new)
+            fail("document " + std::to_string(doc.document) + " has two owners");
     }
   }
   void check_ends() {
-    for (const auto& [world, seen] : docs_)
-      if (seen.ok && !seen.delivered && !seen.told) broken("document " + std::to_string(world) + " was lost");
+    for (const auto& [document, truth] : truth_)
+      if (truth.accepted && !truth.delivered && !truth.end_reported)
+        fail("document " + std::to_string(document) + " was lost");
   }
 
   Plan plan_;
-  std::mt19937 chance_;
+  std::mt19937 random_;
   Roster roster_;
   std::map<MemberId, Node> nodes_;
-  std::map<int, Seen> docs_;
+  std::map<int, GroundTruth> truth_;
   std::priority_queue<Event> events_;
-  std::map<std::pair<MemberId, MemberId>, Millis> free_;
-  std::map<std::pair<MemberId, MemberId>, int> cuts_;
-  std::set<std::pair<MemberId, MemberId>> cut_;
+  std::map<std::pair<MemberId, MemberId>, Millis> link_free_at_;
+  std::map<std::pair<MemberId, MemberId>, int> link_epochs_;
+  std::set<std::pair<MemberId, MemberId>> cut_links_;
   Millis now_ = 0;
-  std::uint64_t number_ = 0;
-  int world_ = 0, takeovers_ = 0;
-  bool healed_ = false, began_ = false;
-  Millis checked_ = 0;
-  std::string broken_;
+  std::uint64_t event_count_ = 0;
+  int last_document_ = 0, takeovers_ = 0;
+  bool healed_ = false, ownership_began_ = false;
+  Millis last_check_at_ = 0;
+  std::string violation_;
 };
 
 int seeds(int usual) {
   auto more = std::getenv("CUSTODY_SEEDS");
   return more ? std::atoi(more) : usual;
 }
-std::string broken_in(const Plan& plan, int count, int* takeovers = nullptr) {
+std::string find_violation(const Plan& plan, int count, int* takeovers = nullptr) {
   for (int seed = 1; seed <= count; ++seed) {
     World world(static_cast<std::uint64_t>(seed), plan);
     auto what = world.run();
@@ -502,52 +531,53 @@
 
 TEST(Custody, NeverTwoOwnersUnderAnyFaults) {
   int takeovers = 0;
-  EXPECT_EQ(broken_in({}, seeds(40), &takeovers), "");
+  EXPECT_EQ(find_violation({}, seeds(40), &takeovers), "");
   EXPECT_GT(takeovers, 50);
 }
 TEST(Custody, NeverTwoOwnersAmongThreeRelays) {
   Plan plan;
   plan.relays = 3;
-  EXPECT_EQ(broken_in(plan, seeds(40)), "");
+  EXPECT_EQ(find_violation(plan, seeds(40)), "");
 }
-TEST(Custody, NothingAnsweredIsLostWhileOneAtATimeIsLost) {
+TEST(Custody, NoAcceptedDocumentIsLostWithOneFailureAtATime) {
   Plan plan;
   plan.one_at_a_time = true, plan.seconds = 60;
   int takeovers = 0;
-  EXPECT_EQ(broken_in(plan, seeds(30), &takeovers), "");
+  EXPECT_EQ(find_violation(plan, seeds(30), &takeovers), "");
   EXPECT_GT(takeovers, 30);
 }
-TEST(Custody, WithoutWaitingForCopiesNoBindingDocumentRunsTwice) {
+TEST(Custody, NonIdempotentDocumentsRunOnceWithoutWaitingForReplicas) {
   Plan plan;
-  plan.wait = false;
-  EXPECT_EQ(broken_in(plan, seeds(30)), "");
+  plan.wait_for_replica = false;
+  EXPECT_EQ(find_violation(plan, seeds(30)), "");
 }
-// Size, faults and clocks drawn too.
-TEST(Custody, HoldsUnderDrawnPlans) {
+// Draws the number of relays, the kinds of faults and the clock rates as well.
+TEST(Custody, HoldsUnderRandomPlans) {
   for (int seed = 1; seed <= seeds(30); ++seed) {
-    std::mt19937 drawn(static_cast<std::uint32_t>(seed));
+    std::mt19937 random(static_cast<std::uint32_t>(seed));
     Plan plan;
-    auto yes = [&] { return drawn() % 2 == 0; };
-    plan.relays = 2 + static_cast<int>(drawn() % 7), plan.wait = yes(), plan.cuts = yes(), plan.kills = yes();
-    plan.stalls = yes(), plan.empties = yes(), plan.false_deaths = yes();
-    plan.drift = plan.clocks_apart = 0.3 * static_cast<double>(drawn() % 100) / 100;
+    auto coin_flip = [&] { return random() % 2 == 0; };
+    plan.relays = 2 + static_cast<int>(random() % 7), plan.wait_for_replica = coin_flip(),
+    plan.link_cuts = coin_flip(), plan.kills = coin_flip();
+    plan.stalls = coin_flip(), plan.emptied_directories = coin_flip(), plan.false_deaths = coin_flip();
+    plan.max_clock_drift = plan.clock_skew = 0.3 * static_cast<double>(random() % 100) / 100;
     World world(static_cast<std::uint64_t>(seed) + 100000, plan);
     EXPECT_EQ(world.run(), "") << "seed " << seed;
   }
 }
-// Each thing that the checker looks at is seen to fail.
-TEST(Custody, CheckerSeesPlantedFaults) {
-  Plan clocks, early, told, answered;
-  clocks.clocks_apart = 1.5, clocks.drift = 0;
-  clocks.relays = 3, clocks.kills = false;
-  EXPECT_NE(broken_in(clocks, 60).find("two owners"), std::string::npos);
-  early.goes_early = true, told.relays = answered.relays = 3;
-  told.kills = told.stalls = told.false_deaths = false, told.seconds = 120;
-  EXPECT_NE(broken_in(early, 60).find("ran twice"), std::string::npos);
-  told.tells_early = true;
-  EXPECT_NE(broken_in(told, 60).find("after its end"), std::string::npos);
-  answered.answers_early = answered.one_at_a_time = true, answered.seconds = 60;
-  EXPECT_NE(broken_in(answered, 60).find("lost"), std::string::npos);
+// Each guarantee that the checker verifies is seen to fail under an injected fault.
+TEST(Custody, CheckerDetectsInjectedFaults) {
+  Plan fast_clocks, early_send, early_end, early_acceptance;
+  fast_clocks.clock_skew = 1.5, fast_clocks.max_clock_drift = 0;
+  fast_clocks.relays = 3, fast_clocks.kills = false;
+  EXPECT_NE(find_violation(fast_clocks, 60).find("two owners"), std::string::npos);
+  early_send.sends_early = true, early_end.relays = early_acceptance.relays = 3;
+  early_end.kills = early_end.stalls = early_end.false_deaths = false, early_end.seconds = 120;
+  EXPECT_NE(find_violation(early_send, 60).find("ran twice"), std::string::npos);
+  early_end.reports_end_early = true;
+  EXPECT_NE(find_violation(early_end, 60).find("after its end"), std::string::npos);
+  early_acceptance.accepts_early = early_acceptance.one_at_a_time = true, early_acceptance.seconds = 60;
+  EXPECT_NE(find_violation(early_acceptance, 60).find("lost"), std::string::npos);
 }
 
 }  // namespace
