--- a/src/fleet/custody.cpp
+++ b/src/fleet/custody.cpp
@@ -42,10 +42,13 @@
 constexpr Millis expired_replica_retention = 60000;
 // For a document whose ownership nobody can prove, after its expiry.
 constexpr Millis unowned_retention = 600000;
-constexpr std::size_t max_idle_groups = 1024;  // groups without documents whose state is kept
-// In force at once while reconfigurations are in progress.
+constexpr std::size_t entry_overhead_bytes = 64;  // per log entry sent, in addition to its document
+constexpr std::size_t max_pending_renewals = 64;  // unanswered ones, per replica
+constexpr std::size_t max_idle_groups = 1024;     // groups without documents whose state is kept
+// Configurations in force at once while reconfigurations are in progress.
 constexpr std::size_t max_active_configurations = 4;
 
+// inactive: neither owner nor replica any more. recovering: the owner before a restart, not yet re-elected.
 enum class Role { inactive, replica, owner, recovering };
 
 struct Transmission {
@@ -72,23 +75,24 @@
 
 // The owner's view of the replication to one replica.
 struct Progress {
-  std::uint64_t sent_index = 0, match_index = 0;  // in the log
+  std::uint64_t sent_index = 0, match_index = 0;
   bool in_sync = false, configuration_accepted = false;
   Millis lease_start = -never;  // when the last acknowledged renewal was sent
   std::map<std::uint64_t, Millis> pending_renewals;
-  std::deque<std::pair<std::uint64_t, std::size_t>> in_flight;
+  std::deque<std::pair<std::uint64_t, std::size_t>> in_flight;  // last index and bytes of each batch
   std::size_t in_flight_bytes = 0, ranges_in_flight = 0;
   std::deque<DocumentRange> pending_ranges;
   bool digests_in_flight = false;
   std::uint64_t last_heartbeat_match_index = 0;
-  void reset(std::uint64_t end) {
-    sent_index = in_sync ? match_index : end, in_flight.clear(), in_flight_bytes = 0, ranges_in_flight = 0,
-    pending_ranges.clear();
+  // Sends again what is not acknowledged; a replica that is not in sync is resynchronized.
+  void reset(std::uint64_t last_index) {
+    sent_index = in_sync ? match_index : last_index, in_flight.clear(), in_flight_bytes = 0,
+    ranges_in_flight = 0, pending_ranges.clear();
     digests_in_flight = false;
   }
-  void acknowledge(std::uint64_t number) {
-    match_index = std::max(match_index, number);
-    for (; !in_flight.empty() && in_flight.front().first <= number; in_flight.pop_front())
+  void acknowledge(std::uint64_t index) {
+    match_index = std::max(match_index, index);
+    for (; !in_flight.empty() && in_flight.front().first <= index; in_flight.pop_front())
       in_flight_bytes -= in_flight.front().second;
   }
 };
@@ -107,11 +111,13 @@
   std::deque<LogEntry> log;  // the last entry has index last_index
   std::uint64_t last_index = 0, renewal_count = 0;
   std::map<RelayInstance, Progress> progress;
+  // is_active: the host was told that it may act for the documents; taken_over: it has yet to be told that
+  // they came from another owner.
   bool is_active = false, taken_over = false;
   Millis next_heartbeat_at = 0, last_lease_at = -never;
   std::deque<std::pair<std::uint64_t, std::uint64_t>> awaiting_replication;  // log index, document number
-  std::vector<std::pair<std::uint64_t, int>> held_transmissions;
-  std::deque<std::pair<std::uint64_t, std::uint64_t>> held_ends;
+  std::vector<std::pair<std::uint64_t, int>> held_transmissions;             // document number, transmission
+  std::deque<std::pair<std::uint64_t, std::uint64_t>> held_ends;             // log index, document number
   Version highest_seen_term;  // in which another member has voted
 
   // State of a replica.
@@ -164,9 +170,9 @@
 
 class LeaseBasedCustody final : public Custody {
  public:
-  LeaseBasedCustody(const Roster& roster, MemberId self, Incarnation own, const CustodySettings& settings,
-                    std::uint64_t seed)
-      : self_{self, own},
+  LeaseBasedCustody(const Roster& roster, MemberId self, Incarnation incarnation,
+                    const CustodySettings& settings, std::uint64_t seed)
+      : self_{self, incarnation},
         settings_(settings),
         random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {
     // The next members on the ring, those of another zone first.
@@ -177,7 +183,7 @@
         if ((roster[at].zone != own_at->zone) == other_zone) placement_order_.push_back(roster[at].id);
       }
     for (const auto& member : roster) member_names_[member.id] = member.name;
-    current_group_ = {self, own.number};
+    current_group_ = {self, incarnation.number};
   }
 
   void begin_turn(Millis now) override {
@@ -559,8 +565,9 @@
         group.lease_granted_until + election_delay_leases * settings_.lease_duration * random_between(1, 2),
     group.is_candidate = false;
   }
-  // The sender's group if this relay is a replica in the sender's term; otherwise refuses.
-  Group* find_replica_of(const CustodyMessage& message) {
+  // Returns the group if this relay is a replica of the sender in the sender's term. Otherwise refuses the
+  // message.
+  Group* group_as_replica_of(const CustodyMessage& message) {
     auto found = groups_.find(message.group);
     if (found == groups_.end()) return nullptr;
     Group& group = found->second;
@@ -571,7 +578,7 @@
     return nullptr;
   }
   void on_renew_lease(const CustodyMessage& message) {
-    Group* group = find_replica_of(message);
+    Group* group = group_as_replica_of(message);
     if (!group) return;
     grant_lease(*group, message.sender);
     auto reply = make_message(MessageKind::lease_renewed, *group);
@@ -579,7 +586,7 @@
     send(message.sender.member, std::move(reply));
   }
   void on_append_entries(const CustodyMessage& message) {
-    Group* group = find_replica_of(message);
+    Group* group = group_as_replica_of(message);
     if (!group || message.number == 0) return;
     auto index = message.number - 1;
     for (const auto& entry : message.entries) {
@@ -635,7 +642,7 @@
     return all;
   }
   void on_range_digests(const CustodyMessage& message) {
-    Group* group = find_replica_of(message);
+    Group* group = group_as_replica_of(message);
     if (!group) return;
     auto request = make_message(MessageKind::request_ranges, *group);
     for (const auto& range : message.ranges)
@@ -649,7 +656,7 @@
     send(message.sender.member, std::move(request));
   }
   void on_range_documents(const CustodyMessage& message) {
-    Group* group = find_replica_of(message);
+    Group* group = group_as_replica_of(message);
     if (!group || message.ranges.size() != 1) return;
     const auto& range = message.ranges.front();
     std::size_t bytes = 0;
@@ -1263,7 +1270,7 @@
           stuck && !is_new)
         progress.reset(group.last_index);
       progress.pending_renewals[renewal] = now_;
-      while (progress.pending_renewals.size() > 64)
+      while (progress.pending_renewals.size() > max_pending_renewals)
         progress.pending_renewals.erase(progress.pending_renewals.begin());
       auto message = make_message(
           progress.configuration_accepted ? MessageKind::renew_lease : MessageKind::propose_configuration,
@@ -1314,7 +1321,7 @@
         if (found == group.docs.end()) wire_entry.kind = EntryKind::no_op;
         else wire_entry.documents.push_back(state_of(found->second)), bytes += found->second.bytes();
       }
-      bytes += 64, ++progress.sent_index;
+      bytes += entry_overhead_bytes, ++progress.sent_index;
       message.entries.push_back(std::move(wire_entry));
     }
     progress.in_flight.emplace_back(progress.sent_index, bytes), progress.in_flight_bytes += bytes;
@@ -1482,9 +1489,9 @@
 
 }  // namespace
 
-std::unique_ptr<Custody> Custody::make(const Roster& roster, MemberId self, Incarnation own,
+std::unique_ptr<Custody> Custody::make(const Roster& roster, MemberId self, Incarnation incarnation,
                                        const CustodySettings& settings, std::uint64_t seed) {
-  return std::make_unique<LeaseBasedCustody>(roster, self, own, settings, seed);
+  return std::make_unique<LeaseBasedCustody>(roster, self, incarnation, settings, seed);
 }
 
 }  // namespace rockcrank::fleet
--- a/src/fleet/custody.h
+++ b/src/fleet/custody.h
@@ -198,7 +198,7 @@
     std::vector<std::string> log_lines;
     Millis wake_in = -1;
   };
-  static std::unique_ptr<Custody> make(const Roster& roster, MemberId self, Incarnation own,
+  static std::unique_ptr<Custody> make(const Roster& roster, MemberId self, Incarnation incarnation,
                                        const CustodySettings& settings, std::uint64_t seed);
   virtual ~Custody() = default;
 
