--- a/tests/fleet/custody_test.cpp
+++ b/tests/fleet/custody_test.cpp
@@ -64,7 +64,8 @@
           std::ranges::all_of(nodes_, [](const auto& at) { return at.second.directory.docs.empty(); });
       if (now_ > end + (all_done ? 3000 : 4 * lifetime)) break;
       event.what();
-      // A lease ends only by time, and begins in a turn, in which the relay also learns of its documents.
+      // Ownership begins only in a turn that takes over or resumes documents, and ends by time: checks after
+      // such turns and every 5 ms.
       if (now_ >= last_check_at_ + 5 || ownership_began_)
         check_owners(), last_check_at_ = now_, ownership_began_ = false;
     }
@@ -546,7 +547,7 @@
   EXPECT_EQ(find_violation(plan, seeds(30), &takeovers), "");
   EXPECT_GT(takeovers, 30);
 }
-TEST(Custody, NonIdempotentDocumentsRunOnceWithoutWaitingForReplicas) {
+TEST(Custody, NonIdempotentDocumentsRunAtMostOnceWithoutWaitingForReplicas) {
   Plan plan;
   plan.wait_for_replica = false;
   EXPECT_EQ(find_violation(plan, seeds(30)), "");
