--- a/src/relay/clients.cpp
+++ b/src/relay/clients.cpp
@@ -1,5 +1,5 @@
-// One object a client's connection, kept in the order of its commands; clients.h says what it owns. Nothing
-// here may wait for a client, nor let one hold up another.
+// One object for each client connection, which queues replies in command order. Nothing here blocks on a
+// client, and no client delays another.
 
 #include "relay/clients.h"
 
@@ -16,15 +16,15 @@
 namespace rockcrank {
 namespace {
 
-constexpr std::size_t command_most = 65536 + 4096;  // a body and the words before it
-constexpr std::size_t words_most = 16;
-constexpr std::size_t unsent_most = 65536;    // a client that does not read is not read from either
-constexpr Millis look_again = 50;             // for a connection out of use, while all are taken
-constexpr Millis whole_within = 2000;         // the platform's: so long may a connection owe a request
-constexpr Millis linger = 1000;               // for the other side's end, after the last answer
-constexpr std::size_t unanswered_most = 128;  // commands of one client awaiting their answers
+constexpr std::size_t max_command_bytes = 65536 + 4096;  // a body of 64 KiB and the other arguments
+constexpr std::size_t max_command_arguments = 16;
+constexpr std::size_t max_unsent_bytes = 65536;  // beyond it no further commands are read from the client
+constexpr Millis eviction_retry_interval = 50;   // for a connection to evict, while the limit is reached
+constexpr Millis command_timeout = 2000;  // set by the platform: for a connection to send a whole command
+constexpr Millis close_timeout = 1000;    // for the client to close, after the last reply
+constexpr std::size_t max_pending_replies = 128;  // of one client
 
-bool is(std::string_view word, std::string_view name) {
+bool equals_ignoring_case(std::string_view word, std::string_view name) {
   return word.size() == name.size() && std::equal(word.begin(), word.end(), name.begin(), [](char a, char b) {
            return std::toupper(static_cast<unsigned char>(a)) == b;
          });
@@ -42,206 +42,216 @@
 class Clients::Client {
  public:
   Client(Clients& owner, std::uint64_t number, int fd)
-      : owner_(owner), number_(number), stream_(owner.loop_, fd), due_(owner.loop_, [this] { late(); }) {
-    used_at_ = owner_.loop_.now();
-    due_.set(used_at_ + whole_within);
-    hear();
+      : owner_(owner),
+        number_(number),
+        stream_(owner.loop_, fd),
+        timer_(owner.loop_, [this] { on_timeout(); }) {
+    last_used_at_ = owner_.loop_.now();
+    timer_.set(last_used_at_ + command_timeout);
+    set_callbacks();
   }
 
-  Client(Clients& owner, std::uint64_t number, const ConnectionState& kept)
+  Client(Clients& owner, std::uint64_t number, const ConnectionSnapshot& snapshot)
       : owner_(owner),
         number_(number),
-        stream_(owner.loop_, kept.stream),
-        due_(owner.loop_, [this] { late(); }) {
-    hear();
-    first_ = kept.has_sent_command, finishing_ = kept.closing, input_over_ = kept.input_ended,
-    used_at_ = kept.last_used_at;
-    due_.set(owner_.loop_.now() + (finishing_ ? linger : whole_within));
-    if (input_over_) stream_.enable_reading(false);
+        stream_(owner.loop_, snapshot.stream),
+        timer_(owner.loop_, [this] { on_timeout(); }) {
+    set_callbacks();
+    first_command_ = snapshot.has_sent_command, closing_ = snapshot.closing,
+    input_ended_ = snapshot.input_ended, last_used_at_ = snapshot.last_used_at;
+    timer_.set(owner_.loop_.now() + (closing_ ? close_timeout : command_timeout));
+    if (input_ended_) stream_.enable_reading(false);
   }
-  ConnectionState keep() const {
-    return {stream_.snapshot(), has_asked(), input_over_, finishing_, used_at_};
+  ConnectionSnapshot snapshot() const {
+    return {stream_.snapshot(), has_sent_command(), input_ended_, closing_, last_used_at_};
   }
-  void give_way() {
-    note_close(CloseReason::out_of_descriptors);
-    stream_.close(), due_.clear();
+  void close_to_free_descriptor() {
+    record_close(CloseReason::out_of_descriptors);
+    stream_.close(), timer_.clear();
     owner_.remove(number_);
   }
   void resume() {
-    if (finishing_) stream_.close_gracefully();
+    if (closing_) stream_.close_gracefully();
     else read();
   }
 
   bool is_idle() const {
-    return answers_.empty() && stream_.unsent_bytes() == 0 && (finishing_ || stream_.received().empty());
+    return replies_.empty() && stream_.unsent_bytes() == 0 && (closing_ || stream_.received().empty());
   }
-  bool at_rest() const { return has_asked() && !finishing_ && is_idle(); }
-  Millis used_at() const { return used_at_; }
-  bool has_asked() const { return first_ > 0; }
-  // Nothing is open, and no request has arrived that was not read yet.
-  bool may_make_way() const { return is_idle() && (finishing_ || stream_.has_no_pending_input()); }
-  // Who makes way first: those ended here, those that have not asked yet, the ones unused for longest.
-  std::pair<int, Millis> merit() const { return {finishing_ ? 0 : has_asked() ? 2 : 1, used_at_}; }
-
-  void answer(std::uint64_t command, const std::string& text) {
-    if (command < first_ || command - first_ >= answers_.size()) return;
-    answers_[command - first_] = text;
-    pass_on();
-    if (finishing_) return finish();
-    go_on();
-    if (input_over_) return close_if_idle();
-    if (at_rest()) owner_.evict_excess_idle();
+  bool is_between_commands() const { return has_sent_command() && !closing_ && is_idle(); }
+  Millis last_used_at() const { return last_used_at_; }
+  bool has_sent_command() const { return first_command_ > 0; }
+  // No reply is pending, and no unread bytes have arrived.
+  bool can_be_closed() const { return is_idle() && (closing_ || stream_.has_no_pending_input()); }
+  // Lowest is evicted first: connections closed here, then those without a command yet, then those unused for
+  // longest.
+  std::pair<int, Millis> eviction_rank() const {
+    return {closing_ ? 0 : has_sent_command() ? 2 : 1, last_used_at_};
   }
 
-  // Between requests only: one that has arrived in part is still answered, if the rest can come.
+  void reply(std::uint64_t command, const std::string& text) {
+    if (command < first_command_ || command - first_command_ >= replies_.size()) return;
+    replies_[command - first_command_] = text;
+    flush_replies();
+    if (closing_) return finish();
+    resume_reading();
+    if (input_ended_) return close_if_idle();
+    if (is_between_commands()) owner_.evict_excess_idle();
+  }
+
+  // Closes only between commands: one that has arrived in part is still answered if the rest can come.
   void close_if_idle() {
-    if (!answers_.empty()) return;
-    if (input_over_) finish();
+    if (!replies_.empty()) return;
+    if (input_ended_) finish();
     else if (stream_.received().empty() && stream_.has_no_pending_input()) finish(CloseReason::shutdown);
   }
 
-  // At the end of this process. What has come of a command never ran, so the client may hand it in elsewhere.
+  // Called at the end of this process. A partly received command never ran, so the client may send it to
+  // another relay.
   void close_now() {
-    if (finishing_) return;
-    if (!stream_.received().empty()) answers_.emplace_back("-BUSY\r\n");
+    if (closing_) return;
+    if (!stream_.received().empty()) replies_.emplace_back("-BUSY\r\n");
     finish(CloseReason::shutdown);
   }
 
  private:
-  void hear() {
+  void set_callbacks() {
     stream_.on_data = [this] { read(); };
-    stream_.on_drain = [this] { go_on(); };
+    stream_.on_drain = [this] { resume_reading(); };
     stream_.on_close = [this] {
-      if (!answers_.empty()) note_close(CloseReason::client_gone);
+      if (!replies_.empty()) record_close(CloseReason::client_gone);
       owner_.remove(number_);
     };
-    // Whoever has ended its sending still gets its answers.
+    // A client that has closed its sending side still gets its replies.
     stream_.on_half_close = [this] {
-      input_over_ = true;
+      input_ended_ = true;
       close_if_idle();
     };
   }
 
-  void note_close(CloseReason reason) { owner_.record_close(reason, number_, answers_.size()); }
+  void record_close(CloseReason reason) { owner_.record_close(reason, number_, replies_.size()); }
 
   void finish(CloseReason reason) {
-    if (!finishing_) note_close(reason);
+    if (!closing_) record_close(reason);
     finish();
   }
 
   void finish() {
-    if (!std::exchange(finishing_, true)) due_.set(owner_.loop_.now() + linger);
-    pass_on();
-    if (answers_.empty()) stream_.close_gracefully();
+    if (!std::exchange(closing_, true)) timer_.set(owner_.loop_.now() + close_timeout);
+    flush_replies();
+    if (replies_.empty()) stream_.close_gracefully();
   }
 
-  // Guards against clients that stay silent, send half a command, do not read, or never end a connection that
-  // was ended here: each would hold its descriptor for good. One with an open request is waited for.
-  void late() {
-    if (answers_.empty() && (finishing_ || stream_.unsent_bytes() > 0)) {
-      if (stream_.unsent_bytes() > 0) note_close(CloseReason::not_reading);
+  // Closes clients that stay silent, send half a command, do not read, or don't close a connection that was
+  // closed here: each would hold its descriptor for good. A client with pending replies is snapshot.
+  void on_timeout() {
+    if (replies_.empty() && (closing_ || stream_.unsent_bytes() > 0)) {
+      if (stream_.unsent_bytes() > 0) record_close(CloseReason::not_reading);
       return owner_.remove(number_);
     }
-    if (!answers_.empty()) return due_.set(owner_.loop_.now() + linger);
-    if (has_asked() && stream_.received().empty()) return;  // at rest: closed only to make room
+    if (!replies_.empty()) return timer_.set(owner_.loop_.now() + close_timeout);
+    if (has_sent_command() && stream_.received().empty()) return;  // idle: closed only by eviction
     if (stream_.received().empty()) return finish(CloseReason::no_command);
-    answers_.emplace_back("-ERR incomplete command\r\n");
+    replies_.emplace_back("-ERR incomplete command\r\n");
     finish(CloseReason::incomplete_command);
   }
 
-  void go_on() {
-    if (reading_ || finishing_ || paused()) return;
+  void resume_reading() {
+    if (reading_ || closing_ || must_pause()) return;
     reading_ = true;
-    stream_.enable_reading(!input_over_);
+    stream_.enable_reading(!input_ended_);
     read();
   }
 
-  bool paused() const { return answers_.size() >= unanswered_most || stream_.unsent_bytes() >= unsent_most; }
+  bool must_pause() const {
+    return replies_.size() >= max_pending_replies || stream_.unsent_bytes() >= max_unsent_bytes;
+  }
 
-  void pass_on() {
+  void flush_replies() {
     std::string out;
-    while (!answers_.empty() && !answers_.front().empty()) {
-      out += answers_.front();
-      answers_.pop_front();
-      ++first_;
+    while (!replies_.empty() && !replies_.front().empty()) {
+      out += replies_.front();
+      replies_.pop_front();
+      ++first_command_;
     }
     if (!out.empty()) stream_.send(out);
   }
 
   void read() {
-    used_at_ = owner_.loop_.now();
-    auto before = first_ + answers_.size();
-    while (stream_.state() == Stream::State::connected && !finishing_) {
-      // Guards against hundreds of commands at once whose answers are all there: they go before any pause.
-      pass_on();
-      if (paused()) {
+    last_used_at_ = owner_.loop_.now();
+    auto before = first_command_ + replies_.size();
+    while (stream_.state() == Stream::State::connected && !closing_) {
+      // Hundreds of commands may arrive at once and be answered immediately; their replies are sent before
+      // reading is paused.
+      flush_replies();
+      if (must_pause()) {
         reading_ = false;
-        due_.set(used_at_ + whole_within);
+        timer_.set(last_used_at_ + command_timeout);
         return stream_.enable_reading(false);
       }
-      auto command = parse_command(stream_.received(), words_most, command_most);
+      auto command = parse_command(stream_.received(), max_command_arguments, max_command_bytes);
       if (command.state == Command::State::partial) break;
-      answers_.emplace_back();
-      auto number = first_ + answers_.size() - 1;
+      replies_.emplace_back();
+      auto number = first_command_ + replies_.size() - 1;
       if (command.state == Command::State::malformed) {
-        answers_.back() = "-ERR malformed command\r\n";
+        replies_.back() = "-ERR malformed command\r\n";
         return finish(CloseReason::malformed_command);
       }
-      carry_out(command.arguments, number);
+      execute(command.arguments, number);
       stream_.consume(command.size);
     }
-    pass_on();
-    if (!finishing_ && before != first_ + answers_.size()) due_.set(used_at_ + whole_within);
+    flush_replies();
+    if (!closing_ && before != first_command_ + replies_.size()) timer_.set(last_used_at_ + command_timeout);
     if (owner_.closing_) return close_if_idle();
-    if (at_rest()) owner_.evict_excess_idle();
+    if (is_between_commands()) owner_.evict_excess_idle();
   }
 
-  void carry_out(const std::vector<std::string_view>& words, std::uint64_t number) {
-    auto say = [&](const char* text) { answers_[number - first_] = text; };
-    if (words.empty()) return say("-ERR empty command\r\n");
-    if (is(words[0], "PING")) return say("+PONG\r\n");
-    if (!is(words[0], "ENQUEUE")) return say("-ERR unknown command\r\n");
-    if (words.size() != 5) return say("-ERR ENQUEUE takes key, id, list and body\r\n");
-    owner_.on_enqueue({words[1], words[2], words[3], words[4]}, {number_, number});
+  void execute(const std::vector<std::string_view>& arguments, std::uint64_t number) {
+    auto reply = [&](const char* text) { replies_[number - first_command_] = text; };
+    if (arguments.empty()) return reply("-ERR empty command\r\n");
+    if (equals_ignoring_case(arguments[0], "PING")) return reply("+PONG\r\n");
+    if (!equals_ignoring_case(arguments[0], "ENQUEUE")) return reply("-ERR unknown command\r\n");
+    if (arguments.size() != 5) return reply("-ERR ENQUEUE takes key, id, list and body\r\n");
+    owner_.on_enqueue({arguments[1], arguments[2], arguments[3], arguments[4]}, {number_, number});
   }
 
   Clients& owner_;
   const std::uint64_t number_;
   Stream stream_;
-  Timer due_;
-  std::deque<std::string> answers_;  // empty: not yet given
-  std::uint64_t first_ = 0;          // the number of the first of them
-  bool reading_ = true, finishing_ = false, input_over_ = false;
-  Millis used_at_ = 0;
+  Timer timer_;
+  std::deque<std::string> replies_;  // in command order; empty: not given yet
+  std::uint64_t first_command_ = 0;  // command number of replies_.front()
+  bool reading_ = true, closing_ = false, input_ended_ = false;
+  Millis last_used_at_ = 0;
 };
 
 Clients::Clients(EventLoop& loop, const Address& at, int passed_socket, const Limits& limits)
     : loop_(loop), limits_(limits), full_timer_(loop, [this] { evict_or_pause(); }) {
-  auto take_one = [this](int fd) { on_accept(fd); };
-  listener_ = passed_socket >= 0 ? std::make_unique<Listener>(loop_, passed_socket, take_one)
-                                 : std::make_unique<Listener>(loop_, at, take_one);
+  auto accept = [this](int fd) { on_accept(fd); };
+  listener_ = passed_socket >= 0 ? std::make_unique<Listener>(loop_, passed_socket, accept)
+                                 : std::make_unique<Listener>(loop_, at, accept);
 }
 
-std::vector<Clients::ConnectionState> Clients::export_connections() const {
-  std::vector<ConnectionState> all;
-  for (const auto& [number, client] : clients_) all.push_back(client->keep());
+std::vector<Clients::ConnectionSnapshot> Clients::snapshot() const {
+  std::vector<ConnectionSnapshot> all;
+  for (const auto& [number, client] : clients_) all.push_back(client->snapshot());
   return all;
 }
 
-void Clients::import_connections(const std::vector<ConnectionState>& kept) {
-  for (const auto& one : kept) {
+void Clients::restore(const std::vector<ConnectionSnapshot>& snapshots) {
+  for (const auto& one : snapshots) {
     auto number = ++last_client_;
     clients_[number] = std::make_unique<Client>(*this, number, one);
   }
 }
 
-// Each may end, and go, meanwhile.
-template <typename Taker>
-void Clients::for_each(Taker take) {
+// Collects the numbers first, because a connection may be removed during its call.
+template <typename Visitor>
+void Clients::for_each(Visitor visit) {
   std::vector<std::uint64_t> numbers;
   for (const auto& [number, client] : clients_) numbers.push_back(number);
   for (auto number : numbers)
-    if (auto found = clients_.find(number); found != clients_.end()) take(*found->second);
+    if (auto found = clients_.find(number); found != clients_.end()) visit(*found->second);
 }
 
 void Clients::resume_reading() {
@@ -250,7 +260,7 @@
 
 void Clients::close_idle() {
   for_each([](Client& client) {
-    if (client.has_asked() && client.may_make_way()) client.give_way();
+    if (client.has_sent_command() && client.can_be_closed()) client.close_to_free_descriptor();
   });
 }
 
@@ -262,42 +272,45 @@
   if (clients_.size() >= limits_.max_connections) evict_or_pause();
 }
 
-// Guards against connections that are kept open unused until no other client gets in: one ended here, one
-// that has not asked in a while, or the one unused for longest is closed between two requests. One just come
-// may have its first request on the way; only while such fill half of the places do those that have asked
-// stay. With none to close, further ones wait in the queue.
+// Idle connections must not keep other clients out. At the limit, one that was closed here, one that has sent
+// no command for a while, or the one unused for longest is closed between two commands. A new connection may
+// have its first command on the way, so it is kept for a moment; connections that have sent commands are
+// spared only while new ones fill over half of the limit. If none can be closed, further connections wait in
+// the listen queue.
 void Clients::evict_or_pause() {
   if (!listener_ || clients_.size() < limits_.max_connections) return;
-  auto fresh =
-      std::count_if(clients_.begin(), clients_.end(), [](const auto& at) { return !at.second->has_asked(); });
-  bool flood = 2 * static_cast<std::size_t>(fresh) > limits_.max_connections;
-  const Client* oldest = nullptr;
+  auto without_command = std::count_if(clients_.begin(), clients_.end(),
+                                       [](const auto& at) { return !at.second->has_sent_command(); });
+  bool flood = 2 * static_cast<std::size_t>(without_command) > limits_.max_connections;
+  const Client* candidate = nullptr;
   std::uint64_t number = 0;
   for (const auto& [other, client] : clients_) {
-    auto unused = loop_.now() - client->used_at();
-    if (client->has_asked() ? flood || unused < 1 : unused < look_again) continue;
-    if ((!oldest || client->merit() < oldest->merit()) && client->may_make_way())
-      oldest = client.get(), number = other;
+    auto unused = loop_.now() - client->last_used_at();
+    if (client->has_sent_command() ? flood || unused < 1 : unused < eviction_retry_interval) continue;
+    if ((!candidate || client->eviction_rank() < candidate->eviction_rank()) && client->can_be_closed())
+      candidate = client.get(), number = other;
   }
-  if (oldest) {
+  if (candidate) {
     record_close(CloseReason::evicted, number, 0);
     return remove(number);
   }
   listener_->set_paused(true);
-  full_timer_.set(loop_.now() + look_again);
+  full_timer_.set(loop_.now() + eviction_retry_interval);
 }
 
-// Guards against clients that ask once and hold their connection: they may hold only so many, and once all of
-// those rest here, nobody asks any more. Beyond the bound the one at rest for longest is closed.
+// Clients may open only a limited number of connections. If all of those were idle on this relay, no client
+// could send a command to any other. So beyond a limit the connection that has been idle for longest is
+// closed.
 void Clients::evict_excess_idle() {
-  std::size_t at_rest = 0;
-  const Client* oldest = nullptr;
+  std::size_t idle = 0;
+  const Client* candidate = nullptr;
   std::uint64_t number = 0;
   for (const auto& [other, client] : clients_) {
-    if (!client->at_rest()) continue;
-    if (++at_rest == 1 || client->used_at() < oldest->used_at()) oldest = client.get(), number = other;
+    if (!client->is_between_commands()) continue;
+    if (++idle == 1 || client->last_used_at() < candidate->last_used_at())
+      candidate = client.get(), number = other;
   }
-  if (at_rest <= limits_.max_idle || !oldest->may_make_way()) return;
+  if (idle <= limits_.max_idle || !candidate->can_be_closed()) return;
   record_close(CloseReason::too_many_idle, number, 0);
   remove(number);
 }
@@ -318,7 +331,7 @@
 }
 
 void Clients::reply(ReplyTo to, const std::string& text) {
-  if (auto found = clients_.find(to.client); found != clients_.end()) found->second->answer(to.command, text);
+  if (auto found = clients_.find(to.client); found != clients_.end()) found->second->reply(to.command, text);
 }
 
 void Clients::stop_listening() { listener_.reset(); }
--- a/src/relay/clients.h
+++ b/src/relay/clients.h
@@ -1,5 +1,6 @@
-// Owns the connections of clients and their commands, in RESP2. It hands documents over and gives back the
-// answers, each in its connection's order; it must never decide whether a document is taken.
+// Client connections and their commands in the RESP2 protocol. Passes documents to the relay and returns the
+// replies in the order of the commands on each connection. Whether a document is accepted is decided
+// elsewhere.
 #pragma once
 
 #include <array>
@@ -17,26 +18,27 @@
 
 namespace rockcrank {
 
-struct EnqueueCommand {  // slices of the connection's buffer
+struct EnqueueCommand {  // views of the connection's buffer
   std::string_view order_key, id, attributes, body;
 };
 
-// Where the answer to one command goes; it may be given later, and is passed over once the client is gone.
+// Identifies the command that a reply belongs to. The reply may be given later, and is dropped if the client
+// is gone.
 struct ReplyTo {
   std::uint64_t client = 0, command = 0;
 };
 
-// Why this relay closed a client's connection, or how one ended under a command.
+// Why this relay closed a client's connection, or that the client left before its replies.
 enum class CloseReason : std::uint8_t {
   malformed_command,
-  incomplete_command,  // the rest of it did not come in time
+  incomplete_command,  // the rest of it did not arrive in time
   no_command,
   not_reading,
-  evicted,  // all places were taken, and a new connection waited
+  evicted,  // the connection limit was reached
   too_many_idle,
-  out_of_descriptors,  // the calls needed its descriptor
+  out_of_descriptors,  // its descriptor was needed for a handover
   shutdown,
-  client_gone  // before it had all its answers
+  client_gone  // before it had all its replies
 };
 constexpr std::size_t close_reason_count = 9;
 const char* name_of(CloseReason reason);
@@ -46,13 +48,13 @@
   struct Limits {
     std::size_t max_connections = 0, max_idle = 0;
   };
-  // What goes to the process that takes this one's place: each connection between two answers.
-  struct ConnectionState {
+  // A connection as handed over to a successor process, between two replies.
+  struct ConnectionSnapshot {
     Stream::Snapshot stream;
     bool has_sent_command = false, input_ended = false, closing = false;
     Millis last_used_at = 0;
   };
-  // On a listening socket that was passed, if there is one.
+  // Listens on the passed socket if there is one (not -1), else on the address.
   Clients(EventLoop& loop, const Address& at, int passed_socket, const Limits& limits);
   ~Clients();
 
@@ -60,21 +62,21 @@
 
   void reply(ReplyTo to, const std::string& text);
   void stop_listening();
-  std::vector<ConnectionState> export_connections() const;  // once all that came is answered
-  void import_connections(const std::vector<ConnectionState>& kept);
-  void resume_reading();  // with what had come on them
+  std::vector<ConnectionSnapshot> snapshot() const;  // once all commands received are answered
+  void restore(const std::vector<ConnectionSnapshot>& snapshots);
+  void resume_reading();  // of commands already received
   std::size_t size() const { return clients_.size(); }
   std::uint64_t closed_count(CloseReason reason) const {
     return closed_counts_[static_cast<std::size_t>(reason)];
   }
-  void close_idle();           // closes all that may be closed between requests
-  void close_after_replies();  // each connection, once nothing on it is unanswered
-  void close_now();            // each connection; what has come of a command is turned away
+  void close_idle();           // closes every connection that can be closed between commands
+  void close_after_replies();  // each connection once it has no pending replies
+  void close_now();            // each connection; a partly received command is answered -BUSY
 
  private:
   class Client;
-  template <typename Taker>
-  void for_each(Taker take);
+  template <typename Visitor>
+  void for_each(Visitor visit);
   void on_accept(int fd);
   void remove(std::uint64_t number);
   void record_close(CloseReason reason, std::uint64_t number, std::size_t unanswered);
--- a/src/relay/endpoints.cpp
+++ b/src/relay/endpoints.cpp
@@ -1,5 +1,5 @@
-// One object a connection, busy with a call or idle; endpoints.h says what it owns. The last byte written
-// tells whether a call that came to nothing may have run; nothing here may send one twice.
+// One object for each connection, which is active with a call or idle. Whether the last byte of a request was
+// written tells whether a failed call may have run. No call is sent twice from here.
 
 #include "relay/endpoints.h"
 
@@ -15,46 +15,47 @@
 namespace rockcrank {
 namespace {
 
-// A call can only be given up whole, so it ends with the first message in it whose time is up.
-Millis call_time_out(const std::vector<OutboundTransmission>& parcels) {
-  Millis shortest = parcels.front().timeout;
-  for (const auto& parcel : parcels) shortest = std::min(shortest, parcel.timeout);
+// A call can only be aborted as a whole, so it ends with the shortest timeout of its documents.
+Millis call_timeout(const std::vector<OutboundTransmission>& transmissions) {
+  Millis shortest = transmissions.front().timeout;
+  for (const auto& sent : transmissions) shortest = std::min(shortest, sent.timeout);
   return std::max(0.0, shortest);
 }
 
-std::string request_of(const std::vector<OutboundTransmission>& parcels, const std::string& host) {
-  char time_out[32];
-  std::snprintf(time_out, sizeof time_out, "%.3f", call_time_out(parcels) / 1000);
+std::string build_request(const std::vector<OutboundTransmission>& transmissions, const std::string& host) {
+  char timeout[32];
+  std::snprintf(timeout, sizeof timeout, "%.3f", call_timeout(transmissions) / 1000);
   std::string body, head;
-  if (parcels.size() == 1) {
-    head = "POST /v1/messages HTTP/1.1\r\nRequest-Id: " + std::string(parcels[0].id) + "\r\n";
-    if (!parcels[0].idempotency_key.empty())
-      head += "Idempotency-Key: " + std::string(parcels[0].idempotency_key) + "\r\n";
-    body = parcels[0].body;
+  if (transmissions.size() == 1) {
+    head = "POST /v1/messages HTTP/1.1\r\nRequest-Id: " + std::string(transmissions[0].id) + "\r\n";
+    if (!transmissions[0].idempotency_key.empty())
+      head += "Idempotency-Key: " + std::string(transmissions[0].idempotency_key) + "\r\n";
+    body = transmissions[0].body;
   } else {
     head = "POST /v1/messages:batch HTTP/1.1\r\nContent-Type: application/json\r\n";
     auto items = nlohmann::json::array();
-    for (const auto& parcel : parcels) {
-      nlohmann::json item{{"id", parcel.id}, {"body", base64_encode(parcel.body)}};
-      if (!parcel.idempotency_key.empty()) item["key"] = parcel.idempotency_key;
+    for (const auto& sent : transmissions) {
+      nlohmann::json item{{"id", sent.id}, {"body", base64_encode(sent.body)}};
+      if (!sent.idempotency_key.empty()) item["key"] = sent.idempotency_key;
       items.push_back(std::move(item));
     }
     body = items.dump();
   }
-  head += "Host: " + host + "\r\nRequest-Timeout: " + std::string(time_out) + "\r\n";
+  head += "Host: " + host + "\r\nRequest-Timeout: " + std::string(timeout) + "\r\n";
   head += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
   return head + body;
 }
 
-constexpr Millis rest_within = 500;  // of an answer whose first line has told all
+constexpr Millis drain_timeout =
+    500;  // for the rest of an answer whose status connection has decided the outcome
 
-struct Verdict {
-  TransmissionResult ending = TransmissionResult::error;
-  bool over = false, spent = false;
+struct CallResult {
+  TransmissionResult result = TransmissionResult::error;
+  bool completed = false, exhausted = false;
 };
 
-// What an answer says of all documents of its call; what is not known may have run.
-Verdict verdict_of(const HttpResponse& answer) {
+// The result that an answer gives for all documents of its call. After an unknown status they may have run.
+CallResult result_of(const HttpResponse& answer) {
   switch (answer.status) {
     case 200: return {TransmissionResult::answered, true};
     case 410: return {TransmissionResult::not_sent, true};
@@ -70,7 +71,7 @@
   }
 }
 
-Verdict verdict_of(std::string_view state) {
+CallResult result_of(std::string_view state) {
   if (state == "ok") return {TransmissionResult::answered, true};
   if (state == "later") return {TransmissionResult::refused, false};
   if (state == "gone") return {TransmissionResult::not_sent, true};
@@ -80,8 +81,8 @@
 
 }  // namespace
 
-// One connection and the call on it. A call is given up whole, with its connection: the endpoint cannot be
-// told that one of its messages is no longer waited for.
+// One connection and the call on it. A call is aborted as a whole by closing its connection, because the
+// endpoint cannot be told that one of the documents is no longer awaited.
 class Endpoints::Connection {
  public:
   Connection(Endpoints& owner, EndpointId endpoint, const Address& address)
@@ -89,211 +90,218 @@
         endpoint_(endpoint),
         address_(address),
         stream_(owner.loop_, address),
-        timer_(owner.loop_, [this] { due(); }),
-        connect_timer_(owner.loop_, [this] { stop(TransmissionResult::not_connected); }) {
-    hear();
+        timer_(owner.loop_, [this] { on_timeout(); }),
+        connect_timer_(owner.loop_, [this] { abort(TransmissionResult::not_connected); }) {
+    set_callbacks();
   }
-  Connection(Endpoints& owner, const ConnectionState& from)
+  Connection(Endpoints& owner, const ConnectionSnapshot& snapshot)
       : owner_(owner),
-        endpoint_(from.endpoint),
-        address_(from.address),
-        stream_(owner.loop_, from.stream),
-        timer_(owner.loop_, [this] { due(); }),
-        connect_timer_(owner.loop_, [this] { stop(TransmissionResult::not_connected); }),
-        items_(from.transmissions),
-        request_(from.request),
-        several_(from.is_batch),
-        held_(from.deferred),
-        hung_up_(from.connection_close),
-        trailing_(from.draining),
-        sent_at_(from.started_at),
-        idle_since_(from.idle_since),
-        kept_(from.idle_before_use) {
-    hear();
-    watch_connect();
-    if (!items_.empty()) watch_time();
-    else if (trailing_) timer_.set(owner_.loop_.now() + rest_within);
-    else watch_rest();
+        endpoint_(snapshot.endpoint),
+        address_(snapshot.address),
+        stream_(owner.loop_, snapshot.stream),
+        timer_(owner.loop_, [this] { on_timeout(); }),
+        connect_timer_(owner.loop_, [this] { abort(TransmissionResult::not_connected); }),
+        transmissions_(snapshot.transmissions),
+        request_(snapshot.request),
+        is_batch_(snapshot.is_batch),
+        deferred_(snapshot.deferred),
+        connection_closed_(snapshot.connection_closed),
+        draining_(snapshot.draining),
+        started_at_(snapshot.started_at),
+        idle_since_(snapshot.idle_since),
+        connection_idle_time_(snapshot.connection_idle_time) {
+    set_callbacks();
+    start_connect_timer();
+    if (!transmissions_.empty()) start_call_timer();
+    else if (draining_) timer_.set(owner_.loop_.now() + drain_timeout);
+    else start_idle_timer();
   }
-  ConnectionState keep() const {
-    return {endpoint_, address_, stream_.snapshot(), items_,   request_,    several_,
-            held_,     hung_up_, trailing_,          sent_at_, idle_since_, kept_};
+  ConnectionSnapshot snapshot() const {
+    return {endpoint_, address_,    stream_.snapshot(), transmissions_,
+            request_,  is_batch_,   deferred_,          connection_closed_,
+            draining_, started_at_, idle_since_,        connection_idle_time_};
   }
-  bool busy() const { return !items_.empty() || trailing_; }
-  bool held() const { return held_ && !request_.empty(); }
-  const std::vector<InFlightTransmission>& items() const { return items_; }
+  bool active() const { return !transmissions_.empty() || draining_; }
+  bool deferred() const { return deferred_ && !request_.empty(); }
+  const std::vector<InFlightTransmission>& transmissions() const { return transmissions_; }
   ~Connection() { --owner_.connections_; }
 
   EndpointId endpoint() const { return endpoint_; }
   const Address& address() const { return address_; }
   bool lacks_descriptor() const { return stream_.out_of_resources(); }
-  // Guards against a surplus, or an end, that has come but was not read yet: it would be taken for the answer
-  // to the next call, or end it without one.
+  // Unread bytes or an unread end of the connection would be taken for the answer to the next call, or end it
+  // without one.
   bool usable() const {
-    return coming_up() || (stream_.received().empty() && stream_.has_no_pending_input());
+    return connecting() || (stream_.received().empty() && stream_.has_no_pending_input());
   }
-  bool coming_up() const { return stream_.state() == Stream::State::connecting; }
+  bool connecting() const { return stream_.state() == Stream::State::connecting; }
   Millis idle_since() const { return idle_since_; }
 
-  void begin(const std::vector<OutboundTransmission>& parcels) {
-    sent_at_ = owner_.loop_.now();
-    kept_ = idle_since_ > 0 && !coming_up() ? std::max(0.001, sent_at_ - idle_since_) : 0;
-    tell(PreconnectEvent::used);
-    const Millis until = sent_at_ + call_time_out(parcels);
-    for (const auto& parcel : parcels)
-      items_.push_back({parcel.doc, parcel.transmission, until, std::string(parcel.id)});
-    several_ = parcels.size() > 1;
-    request_ = request_of(parcels, address_.host + ":" + std::to_string(address_.port));
-    watch_time();
-    watch_connect();
+  void start_call(const std::vector<OutboundTransmission>& transmissions) {
+    started_at_ = owner_.loop_.now();
+    connection_idle_time_ = idle_since_ > 0 && !connecting() ? std::max(0.001, started_at_ - idle_since_) : 0;
+    report_preconnect(PreconnectEvent::used);
+    const Millis deadline = started_at_ + call_timeout(transmissions);
+    for (const auto& sent : transmissions)
+      transmissions_.push_back({sent.doc, sent.transmission, deadline, std::string(sent.id)});
+    is_batch_ = transmissions.size() > 1;
+    request_ = build_request(transmissions, address_.host + ":" + std::to_string(address_.port));
+    start_call_timer();
+    start_connect_timer();
     if (stream_.state() == Stream::State::connected) write();
-    else owner_.on_connecting(items_[0].doc, items_[0].transmission);
+    else owner_.on_connecting(transmissions_[0].doc, transmissions_[0].transmission);
   }
-  void begin_ahead() {
-    ahead_ = true, idle_since_ = sent_at_ = owner_.loop_.now();
-    watch_connect();
+  void start_preconnect() {
+    preconnected_ = true, idle_since_ = started_at_ = owner_.loop_.now();
+    start_connect_timer();
   }
-  // Of one opened ahead. Its first use is the last that is told; where it never came up it failed.
-  void tell(PreconnectEvent what) {
-    if (!ahead_) return;
-    if (what != PreconnectEvent::connected) ahead_ = false;
-    if (owner_.on_preconnect) owner_.on_preconnect(endpoint_, what);
+  // Reports an event of a preconnect. Its first use is the last event; one that never connected has failed.
+  void report_preconnect(PreconnectEvent event) {
+    if (!preconnected_) return;
+    if (event != PreconnectEvent::connected) preconnected_ = false;
+    if (owner_.on_preconnect) owner_.on_preconnect(endpoint_, event);
   }
-  void put_away() { tell(came_up_ ? PreconnectEvent::unused : PreconnectEvent::failed); }
-  // A connection takes time to come up. Meanwhile a wait may have been told, which binds this call too, or
-  // the slots been taken, which is no fault of the endpoint's.
-  void go_on() {
+  void on_discard() { report_preconnect(was_connected_ ? PreconnectEvent::unused : PreconnectEvent::failed); }
+  // Asks again whether the call may begin: while the connection was established, the endpoint may have
+  // requested a wait, which applies to this call too, or the slots may have been taken, which is no fault of
+  // the endpoint.
+  void resume() {
     if (request_.empty()) return;
-    // Guards against a call written after its time, or after one of its messages has been reported as over.
-    if (owner_.loop_.now() >= items_[0].deadline) return stop(TransmissionResult::not_connected);
-    if (std::ranges::any_of(items_,
+    // A call must not be written after its deadline, or after one of its documents has been reported as
+    // ended.
+    if (owner_.loop_.now() >= transmissions_[0].deadline) return abort(TransmissionResult::not_connected);
+    if (std::ranges::any_of(transmissions_,
                             [&](const InFlightTransmission& item) { return owner_.is_finished(item.doc); }))
-      return stop(TransmissionResult::not_sent);
-    auto may = owner_.may_begin(items_[0].doc, items_[0].transmission);
-    held_ = may == SendPermission::later;
-    if (held_) owner_.deferred_.emplace_back(items_[0].doc, items_[0].transmission);
-    else if (may == SendPermission::now) write();
-    else stop(TransmissionResult::not_sent);
+      return abort(TransmissionResult::not_sent);
+    auto permission = owner_.may_begin(transmissions_[0].doc, transmissions_[0].transmission);
+    deferred_ = permission == SendPermission::later;
+    if (deferred_) owner_.deferred_.emplace_back(transmissions_[0].doc, transmissions_[0].transmission);
+    else if (permission == SendPermission::now) write();
+    else abort(TransmissionResult::not_sent);
   }
-  // No socket was to be had, or the connection was turned down on the spot.
-  bool stillborn() const { return stream_.state() == Stream::State::closed; }
-  // The connection is given up; a call that was not wholly written never ran.
-  void stop(TransmissionResult ending) {
-    bool never = unwritten();
-    if (never && (ending == TransmissionResult::connection_lost || ending == TransmissionResult::timed_out))
-      ending = TransmissionResult::not_connected;
-    if (never && (held_ || ending == TransmissionResult::canceled)) ending = TransmissionResult::not_sent;
-    end_all({ending, false}, 0, {});
+  // No socket could be created, or the connection was refused immediately.
+  bool failed_to_open() const { return stream_.state() == Stream::State::closed; }
+  // Closes the connection and ends its call; a call that was not completely written never ran.
+  void abort(TransmissionResult result) {
+    bool never_ran = has_unwritten_bytes();
+    if (never_ran &&
+        (result == TransmissionResult::connection_lost || result == TransmissionResult::timed_out))
+      result = TransmissionResult::not_connected;
+    if (never_ran && (deferred_ || result == TransmissionResult::canceled))
+      result = TransmissionResult::not_sent;
+    finish_all({result, false}, 0, {});
     owner_.discard(*this);
   }
 
-  void call_off() {
-    if (!ended_by_what_came()) stop(TransmissionResult::canceled);
+  void cancel() {
+    if (!finished_by_pending_input()) abort(TransmissionResult::canceled);
   }
 
-  void shut() { stream_.close(), timer_.clear(), connect_timer_.clear(); }
+  void close() { stream_.close(), timer_.clear(), connect_timer_.clear(); }
 
-  void rested() {
+  void on_idle() {
     idle_since_ = owner_.loop_.now();
-    watch_rest();
+    start_idle_timer();
   }
-  void watch_rest() {
-    // Closed before the endpoint does: its clock began a crossing earlier, and a request needs one more. The
-    // call that has just ended took at least both.
+  void start_idle_timer() {
+    // Closes the connection before the endpoint does: its idle timer started one network latency earlier, and
+    // a request needs one more to arrive. The last call took at least as long as both.
     if (owner_.limits_.idle_timeout > 0)
-      timer_.set(idle_since_ + std::max(0.0, owner_.limits_.idle_timeout - (idle_since_ - sent_at_)));
+      timer_.set(idle_since_ + std::max(0.0, owner_.limits_.idle_timeout - (idle_since_ - started_at_)));
   }
 
  private:
-  void hear() {
+  void set_callbacks() {
     ++owner_.connections_;
     stream_.on_connected = [this] {
       connect_timer_.clear();
-      came_up_ = true;
-      if (items_.empty()) return owner_.release_preconnected(*this);
-      go_on();
+      was_connected_ = true;
+      if (transmissions_.empty()) return owner_.release_preconnected(*this);
+      resume();
     };
     stream_.on_data = [this] { read(false); };
     stream_.on_close = [this] { read(true); };
   }
 
-  // Whether the endpoint cannot have the whole call: until its last byte is written, it never ran.
-  bool unwritten() const { return !request_.empty() || stream_.unsent_bytes() > 0; }
+  // Whether the endpoint cannot have the whole request: until its last byte is written, the call never ran.
+  bool has_unwritten_bytes() const { return !request_.empty() || stream_.unsent_bytes() > 0; }
 
   void write() {
-    if (!owner_.before_write(endpoint_, items_)) return stop(TransmissionResult::not_sent);
+    if (!owner_.before_write(endpoint_, transmissions_)) return abort(TransmissionResult::not_sent);
     stream_.send(std::exchange(request_, {}));
   }
 
-  void watch_connect() {
+  void start_connect_timer() {
     if (stream_.state() == Stream::State::connecting && owner_.limits_.connect_timeout > 0)
-      connect_timer_.set(sent_at_ + owner_.limits_.connect_timeout);
+      connect_timer_.set(started_at_ + owner_.limits_.connect_timeout);
   }
 
-  void watch_time() {
-    if (items_.empty()) return;
-    timer_.set(std::ranges::min_element(items_, {}, &InFlightTransmission::deadline)->deadline);
+  void start_call_timer() {
+    if (transmissions_.empty()) return;
+    timer_.set(std::ranges::min_element(transmissions_, {}, &InFlightTransmission::deadline)->deadline);
   }
 
-  // Guards against losing an answer, or a break, that came after this round's poll(): it was first.
-  bool ended_by_what_came() {
+  // An answer or a reset may have arrived after this round's poll(). It came before the timeout or
+  // cancellation, so it counts.
+  bool finished_by_pending_input() {
     stream_.read_now();
-    return items_.empty();
+    return transmissions_.empty();
   }
 
-  void due() {
-    if (items_.empty()) return owner_.discard(*this);  // idle, or trailing, for long enough
-    if (stream_.state() == Stream::State::connecting) return stop(TransmissionResult::not_connected);
-    if (ended_by_what_came()) return;
-    // Guards against a message reported as over while its call goes on: an endpoint may still run it, and
-    // would have the rest of the call answered for nobody.
-    stop(TransmissionResult::timed_out);
+  void on_timeout() {
+    if (transmissions_.empty()) return owner_.discard(*this);  // idle or draining for long enough
+    if (stream_.state() == Stream::State::connecting) return abort(TransmissionResult::not_connected);
+    if (finished_by_pending_input()) return;
+    // No document is reported as ended while its call goes on: the endpoint might still run it, and the
+    // answers for the other documents would be lost.
+    abort(TransmissionResult::timed_out);
   }
 
-  void end_one(const InFlightTransmission& item, Verdict verdict, Millis wait, const LoadHints& hints) {
+  void finish_one(const InFlightTransmission& item, CallResult result, Millis wait, const LoadHints& hints) {
     Outcome outcome;
     outcome.doc = item.doc, outcome.transmission = item.transmission, outcome.endpoint = endpoint_;
-    outcome.result = verdict.ending, outcome.completed = verdict.over, outcome.exhausted = verdict.spent;
-    outcome.duration = owner_.loop_.now() - sent_at_;
-    outcome.retry_after = wait, outcome.hints = hints, outcome.connection_idle_time = kept_,
-    outcome.connection_closed = hung_up_;
+    outcome.result = result.result, outcome.completed = result.completed,
+    outcome.exhausted = result.exhausted;
+    outcome.duration = owner_.loop_.now() - started_at_;
+    outcome.retry_after = wait, outcome.hints = hints, outcome.connection_idle_time = connection_idle_time_,
+    outcome.connection_closed = connection_closed_;
     owner_.in_flight_.erase({item.doc, item.transmission});
     owner_.on_outcome(outcome);
   }
 
-  template <typename VerdictOf>
-  void end_each(VerdictOf verdict_of_item, Millis wait, const LoadHints& hints) {
-    auto items = std::exchange(items_, {});
+  template <typename ResultOf>
+  void finish_each(ResultOf result_of_item, Millis wait, const LoadHints& hints) {
+    auto items = std::exchange(transmissions_, {});
     timer_.clear(), connect_timer_.clear();
-    for (const auto& item : items) end_one(item, verdict_of_item(item), wait, hints);
+    for (const auto& item : items) finish_one(item, result_of_item(item), wait, hints);
   }
-  void end_all(Verdict verdict, Millis wait, const LoadHints& hints) {
-    end_each([&](const InFlightTransmission&) { return verdict; }, wait, hints);
+  void finish_all(CallResult result, Millis wait, const LoadHints& hints) {
+    finish_each([&](const InFlightTransmission&) { return result; }, wait, hints);
   }
 
   void read(bool ended) {
-    if (items_.empty() && !trailing_) return owner_.discard(*this);  // an idle connection has nothing to say
+    if (transmissions_.empty() && !draining_)
+      return owner_.discard(*this);  // unexpected bytes or an end on an idle connection
     auto answer = parse_response(stream_.received(), max_body_bytes, ended);
     using State = HttpResponse::State;
-    bool partial = answer.state == State::partial && !ended, whole = answer.state == State::complete;
-    // A 200 in the first line is true for a single document, whatever becomes of the rest. Guards against
-    // heads and bodies that never end: the document is over at once, the connection has the call's time to
-    // end well.
-    bool true_already = !several_ && answer.status == 200;
-    if (partial && (!true_already || trailing_)) return;
-    // Any other answer that cannot be read whole tells nothing: its first line may be spoilt too.
-    if (!whole && !true_already) return stop(TransmissionResult::connection_lost);
-    if (!std::exchange(trailing_, partial)) tell(answer);
-    // Guards against answers that stop short: the endpoint counts such a call as out until its connection
-    // ends.
-    if (partial) return timer_.set(owner_.loop_.now() + rest_within);
-    if (!whole || answer.closes_connection || ended || unwritten()) return owner_.discard(*this);
+    bool partial = answer.state == State::partial && !ended, complete = answer.state == State::complete;
+    // For a single document a 200 in the status line is final, whatever follows. So headers or a body that
+    // never end don't delay the outcome.
+    bool is_decided = !is_batch_ && answer.status == 200;
+    if (partial && (!is_decided || draining_)) return;
+    // Any other answer that cannot be read completely is ignored: its status line may be corrupt too.
+    if (!complete && !is_decided) return abort(TransmissionResult::connection_lost);
+    if (!std::exchange(draining_, partial)) process_response(answer);
+    // An answer may stop short, and the endpoint counts such a call as running until its connection is
+    // closed.
+    if (partial) return timer_.set(owner_.loop_.now() + drain_timeout);
+    if (!complete || answer.closes_connection || ended || has_unwritten_bytes()) return owner_.discard(*this);
     stream_.consume(answer.size);
     if (!stream_.received().empty()) return owner_.discard(*this);
     owner_.release(*this);
   }
 
-  void tell(const HttpResponse& answer) {
+  void process_response(const HttpResponse& answer) {
     Millis wait = 0;
     LoadHints hints;
     try {
@@ -301,23 +309,24 @@
         wait = std::max(0.0, std::ceil(1000 * parse_number(text, "Retry-After")));
       if (auto text = answer.header("Server-Load"); !text.empty()) hints = parse_hints(text, '=');
     } catch (const ParseError& fault) {
-      log_line("answer of %llx: %s", static_cast<unsigned long long>(endpoint_), fault.what());
+      log_line("invalid header in an answer of endpoint %llx: %s", static_cast<unsigned long long>(endpoint_),
+               fault.what());
     }
-    auto all = verdict_of(answer);
-    hung_up_ = answer.closes_connection;
-    if (!several_ || answer.status != 200) return end_all(all, wait, hints);
+    auto all = result_of(answer);
+    connection_closed_ = answer.closes_connection;
+    if (!is_batch_ || answer.status != 200) return finish_all(all, wait, hints);
     auto states = nlohmann::json::parse(answer.body(), nullptr, false);
-    std::map<std::string, Verdict> verdicts;
+    std::map<std::string, CallResult> results;
     for (const auto& state : states.is_array() ? states : nlohmann::json::array())
       if (state.is_object() && state.contains("id") && state["id"].is_string() && state.contains("state") &&
           state["state"].is_string())
-        verdicts[state["id"].get<std::string>()] = verdict_of(state["state"].get<std::string>());
-    auto told = [&](const InFlightTransmission& item) {
-      auto found = verdicts.find(item.id);
-      // A document that the answer leaves out may have run.
-      return found == verdicts.end() ? Verdict{TransmissionResult::error, false} : found->second;
+        results[state["id"].get<std::string>()] = result_of(state["state"].get<std::string>());
+    auto result_of_item = [&](const InFlightTransmission& item) {
+      auto found = results.find(item.id);
+      // A document missing from the answer may have run.
+      return found == results.end() ? CallResult{TransmissionResult::error, false} : found->second;
     };
-    end_each(told, wait, hints);
+    finish_each(result_of_item, wait, hints);
   }
 
   Endpoints& owner_;
@@ -325,134 +334,138 @@
   const Address address_;
   Stream stream_;
   Timer timer_, connect_timer_;
-  std::vector<InFlightTransmission> items_;
+  std::vector<InFlightTransmission> transmissions_;
   std::string request_;
-  bool several_ = false;
-  bool held_ = false;                     // up, but told to begin later
-  bool hung_up_ = false;                  // the answer ends its connection
-  bool trailing_ = false;                 // the outcome is told, the rest of the answer still awaited
-  bool ahead_ = false, came_up_ = false;  // opened ahead, and not used yet
-  Millis sent_at_ = 0, idle_since_ = 0, kept_ = 0;
+  bool is_batch_ = false;
+  bool deferred_ = false;           // connected, but told to begin later
+  bool connection_closed_ = false;  // the answer closes the connection
+  bool draining_ = false;           // the outcome is reported, the rest of the answer is still awaited
+  bool preconnected_ = false, was_connected_ = false;  // preconnected_: not used by a call yet
+  Millis started_at_ = 0, idle_since_ = 0, connection_idle_time_ = 0;
 };
 
 Endpoints::Endpoints(EventLoop& loop, const Limits& limits) : loop_(loop), limits_(limits) {}
 Endpoints::~Endpoints() = default;
 
-// A document's part of a bundle: base64, and the names around it.
-std::size_t Endpoints::batch_item_bytes(std::string_view id, std::string_view mark, std::string_view body) {
-  return (body.size() + 2) / 3 * 4 + id.size() + mark.size() + 40;
+// A document's share of a batch body: the base64 text and the JSON around it.
+std::size_t Endpoints::batch_item_bytes(std::string_view id, std::string_view idempotency_key,
+                                        std::string_view body) {
+  return (body.size() + 2) / 3 * 4 + id.size() + idempotency_key.size() + 40;
 }
 
-void Endpoints::set_timeouts(Millis connect_within, Millis idle_life) {
-  limits_.connect_timeout = connect_within, limits_.idle_timeout = idle_life;
+void Endpoints::set_timeouts(Millis connect_timeout, Millis idle_timeout) {
+  limits_.connect_timeout = connect_timeout, limits_.idle_timeout = idle_timeout;
 }
 
 void Endpoints::set_address(EndpointId endpoint, const Address& address) {
-  Pool& place = pools_[endpoint];
-  if (place.address != address) close_idle(endpoint);
-  place.address = address;
+  Pool& pool = pools_[endpoint];
+  if (pool.address != address) close_idle(endpoint);
+  pool.address = address;
 }
 
-void Endpoints::call(EndpointId endpoint, const std::vector<OutboundTransmission>& parcels) {
-  Pool& place = pools_.at(endpoint);
-  std::unique_ptr<Connection> line;
-  // One that is up goes before one that is coming up.
-  for (bool coming_up : {false, true})
-    for (auto at = place.idle.begin(); at != place.idle.end() && !line;) {
-      if ((*at)->coming_up() != coming_up) {
+void Endpoints::call(EndpointId endpoint, const std::vector<OutboundTransmission>& transmissions) {
+  Pool& pool = pools_.at(endpoint);
+  std::unique_ptr<Connection> connection;
+  // Connected ones are preferred to those still connecting.
+  for (bool connecting : {false, true})
+    for (auto at = pool.idle.begin(); at != pool.idle.end() && !connection;) {
+      if ((*at)->connecting() != connecting) {
         ++at;
         continue;
       }
-      auto kept = std::move(*at);
-      at = place.idle.erase(at);
-      if (kept->usable() && loop_.now() - kept->idle_since() <= max_idle_time) line = std::move(kept);
-      else discard_idle(std::move(kept));
+      auto candidate = std::move(*at);
+      at = pool.idle.erase(at);
+      if (candidate->usable() && loop_.now() - candidate->idle_since() <= max_idle_time)
+        connection = std::move(candidate);
+      else discard_idle(std::move(candidate));
     }
-  bool fresh = !line;
-  bool room = !fresh || ensure_capacity();
-  if (fresh) line = std::make_unique<Connection>(*this, endpoint, place.address);
-  Connection& used = *line;
-  active_[&used] = std::move(line);
-  for (const auto& parcel : parcels) in_flight_[{parcel.doc, parcel.transmission}] = &used;
-  used.begin(parcels);
-  if (!room || used.lacks_descriptor()) used.stop(TransmissionResult::not_sent);
-  else if (fresh && used.stillborn()) used.stop(TransmissionResult::not_connected);
+  bool is_new = !connection;
+  bool has_capacity = !is_new || ensure_capacity();
+  if (is_new) connection = std::make_unique<Connection>(*this, endpoint, pool.address);
+  Connection& used = *connection;
+  active_[&used] = std::move(connection);
+  for (const auto& sent : transmissions) in_flight_[{sent.doc, sent.transmission}] = &used;
+  used.start_call(transmissions);
+  if (!has_capacity || used.lacks_descriptor()) used.abort(TransmissionResult::not_sent);
+  else if (is_new && used.failed_to_open()) used.abort(TransmissionResult::not_connected);
 }
 
 bool Endpoints::preconnect(EndpointId endpoint) {
-  auto place = pools_.find(endpoint);
-  if (place == pools_.end() || connections_ >= limits_.max_connections) return false;
-  auto line = std::make_unique<Connection>(*this, endpoint, place->second.address);
-  if (line->stillborn()) return loop_.defer_delete(std::move(line)), false;
-  line->begin_ahead();
-  place->second.idle.push_front(std::move(line));
+  auto pool = pools_.find(endpoint);
+  if (pool == pools_.end() || connections_ >= limits_.max_connections) return false;
+  auto connection = std::make_unique<Connection>(*this, endpoint, pool->second.address);
+  if (connection->failed_to_open()) return loop_.defer_delete(std::move(connection)), false;
+  connection->start_preconnect();
+  pool->second.idle.push_front(std::move(connection));
   return true;
 }
 
-void Endpoints::release_preconnected(Connection& line) {
-  auto place = pools_.find(line.endpoint());
-  if (place == pools_.end()) return;  // put away in this round
-  auto& idle = place->second.idle;
-  auto found = std::find_if(idle.begin(), idle.end(), [&](const auto& one) { return one.get() == &line; });
+void Endpoints::release_preconnected(Connection& connection) {
+  auto pool = pools_.find(connection.endpoint());
+  if (pool == pools_.end()) return;  // discarded in this round
+  auto& idle = pool->second.idle;
+  auto found =
+      std::find_if(idle.begin(), idle.end(), [&](const auto& one) { return one.get() == &connection; });
   if (found == idle.end()) return;
   idle.splice(idle.begin(), idle, found);  // idle from now on
-  line.rested(), line.tell(PreconnectEvent::connected);
+  connection.on_idle(), connection.report_preconnect(PreconnectEvent::connected);
 }
 
-void Endpoints::discard_idle(std::unique_ptr<Connection> line) {
-  line->put_away();
-  loop_.defer_delete(std::move(line));
+void Endpoints::discard_idle(std::unique_ptr<Connection> connection) {
+  connection->on_discard();
+  loop_.defer_delete(std::move(connection));
 }
 
 int Endpoints::connections(EndpointId endpoint) const {
-  auto place = pools_.find(endpoint);
-  auto busy = std::count_if(active_.begin(), active_.end(),
-                            [&](const auto& one) { return one.first->endpoint() == endpoint; });
-  return static_cast<int>(busy + (place == pools_.end() ? 0 : std::ssize(place->second.idle)));
+  auto pool = pools_.find(endpoint);
+  auto active = std::count_if(active_.begin(), active_.end(),
+                              [&](const auto& one) { return one.first->endpoint() == endpoint; });
+  return static_cast<int>(active + (pool == pools_.end() ? 0 : std::ssize(pool->second.idle)));
 }
 
-std::vector<Endpoints::ConnectionState> Endpoints::export_connections() const {
-  std::vector<ConnectionState> all;
-  for (const auto& [line, owned] : active_) all.push_back(line->keep());
-  for (const auto& [endpoint, place] : pools_)
-    for (const auto& line : place.idle) all.push_back(line->keep());
+std::vector<Endpoints::ConnectionSnapshot> Endpoints::snapshot() const {
+  std::vector<ConnectionSnapshot> all;
+  for (const auto& [connection, owned] : active_) all.push_back(connection->snapshot());
+  for (const auto& [endpoint, pool] : pools_)
+    for (const auto& connection : pool.idle) all.push_back(connection->snapshot());
   return all;
 }
 
-void Endpoints::import_connections(const std::vector<ConnectionState>& kept) {
-  for (const auto& from : kept) {
-    auto line = std::make_unique<Connection>(*this, from);
-    Connection& here = *line;
-    if (!here.busy()) {
-      pools_[from.endpoint].idle.push_back(std::move(line));
+void Endpoints::restore(const std::vector<ConnectionSnapshot>& snapshots) {
+  for (const auto& snapshot : snapshots) {
+    auto connection = std::make_unique<Connection>(*this, snapshot);
+    Connection& restored = *connection;
+    if (!restored.active()) {
+      pools_[snapshot.endpoint].idle.push_back(std::move(connection));
       continue;
     }
-    active_[&here] = std::move(line);
-    for (const auto& item : here.items()) in_flight_[{item.doc, item.transmission}] = &here;
-    if (here.held()) deferred_.emplace_back(here.items()[0].doc, here.items()[0].transmission);
+    active_[&restored] = std::move(connection);
+    for (const auto& item : restored.transmissions()) in_flight_[{item.doc, item.transmission}] = &restored;
+    if (restored.deferred())
+      deferred_.emplace_back(restored.transmissions()[0].doc, restored.transmissions()[0].transmission);
   }
 }
 
 std::vector<std::pair<EndpointId, Address>> Endpoints::addresses() const {
   std::vector<std::pair<EndpointId, Address>> all;
-  for (const auto& [endpoint, place] : pools_) all.emplace_back(endpoint, place.address);
+  for (const auto& [endpoint, pool] : pools_) all.emplace_back(endpoint, pool.address);
   return all;
 }
 
 void Endpoints::close_all_idle() {
-  for (auto& [endpoint, place] : pools_) {
-    for (auto& line : place.idle) line->shut();
+  for (auto& [endpoint, pool] : pools_) {
+    for (auto& connection : pool.idle) connection->close();
     close_idle(endpoint);
   }
 }
 
-// Guards against running out of descriptors: the connection idle for longest makes way.
+// Keeps within the connection limit by closing the connection that has been idle for longest.
 bool Endpoints::ensure_capacity() {
   if (connections_ < limits_.max_connections) return true;
   std::list<std::unique_ptr<Connection>>* oldest = nullptr;
-  for (auto& [endpoint, place] : pools_)
-    if (!place.idle.empty() && (!oldest || place.idle.back()->idle_since() < oldest->back()->idle_since()))
-      oldest = &place.idle;
+  for (auto& [endpoint, pool] : pools_)
+    if (!pool.idle.empty() && (!oldest || pool.idle.back()->idle_since() < oldest->back()->idle_since()))
+      oldest = &pool.idle;
   if (!oldest) return false;
   discard_idle(std::move(oldest->back()));
   oldest->pop_back();
@@ -461,19 +474,19 @@
 
 void Endpoints::cancel(DocId doc, int transmission) {
   auto found = in_flight_.find({doc, transmission});
-  if (found != in_flight_.end()) found->second->call_off();
+  if (found != in_flight_.end()) found->second->cancel();
 }
 
 void Endpoints::resume_deferred() {
   for (const auto& call : std::exchange(deferred_, {}))
-    if (auto found = in_flight_.find(call); found != in_flight_.end()) found->second->go_on();
+    if (auto found = in_flight_.find(call); found != in_flight_.end()) found->second->resume();
 }
 
-void Endpoints::close_idle(EndpointId endpoint, Millis idle_least) {
+void Endpoints::close_idle(EndpointId endpoint, Millis min_idle) {
   auto found = pools_.find(endpoint);
   if (found == pools_.end()) return;
   auto& idle = found->second.idle;
-  while (!idle.empty() && loop_.now() - idle.back()->idle_since() >= idle_least) {
+  while (!idle.empty() && loop_.now() - idle.back()->idle_since() >= min_idle) {
     discard_idle(std::move(idle.back()));
     idle.pop_back();
   }
@@ -484,28 +497,29 @@
   pools_.erase(endpoint);
 }
 
-void Endpoints::release(Connection& line) {
-  auto found = active_.find(&line);
+void Endpoints::release(Connection& connection) {
+  auto found = active_.find(&connection);
   if (found == active_.end()) return;
-  auto place = pools_.find(line.endpoint());
-  // It trailed on past its endpoint's end, or leads to where that was before it moved.
-  if (place == pools_.end() || line.address() != place->second.address) return discard(line);
-  place->second.idle.push_front(std::move(found->second));
+  auto pool = pools_.find(connection.endpoint());
+  // The endpoint was removed while the answer was draining, or its address has changed.
+  if (pool == pools_.end() || connection.address() != pool->second.address) return discard(connection);
+  pool->second.idle.push_front(std::move(found->second));
   active_.erase(found);
-  line.rested();
+  connection.on_idle();
 }
 
-void Endpoints::discard(Connection& line) {
-  line.shut();
-  if (auto found = active_.find(&line); found != active_.end()) {
+void Endpoints::discard(Connection& connection) {
+  connection.close();
+  if (auto found = active_.find(&connection); found != active_.end()) {
     loop_.defer_delete(std::move(found->second));
     active_.erase(found);
     return;
   }
-  auto place = pools_.find(line.endpoint());
-  if (place == pools_.end()) return;
-  auto& idle = place->second.idle;
-  auto found = std::find_if(idle.begin(), idle.end(), [&](const auto& kept) { return kept.get() == &line; });
+  auto pool = pools_.find(connection.endpoint());
+  if (pool == pools_.end()) return;
+  auto& idle = pool->second.idle;
+  auto found = std::find_if(idle.begin(), idle.end(),
+                            [&](const auto& candidate) { return candidate.get() == &connection; });
   if (found == idle.end()) return;
   discard_idle(std::move(*found));
   idle.erase(found);
--- a/src/relay/endpoints.h
+++ b/src/relay/endpoints.h
@@ -1,7 +1,7 @@
-// Owns the connections to endpoints and the calls on them, one call at a time on each. It carries out what
-// the decision module chose and reports how each transmission ended, and what became of a connection opened
-// ahead of any; it must never choose an endpoint, send anything again, or hold a call back, but for asking
-// whether one not yet begun may still go.
+// Connection pool for HTTP/1.1 calls to endpoints, one call at a time on each connection. It carries out the
+// calls chosen by the decision module and reports the outcome of each transmission and of each preconnect. It
+// neither chooses an endpoint nor retries; before a call is written on a new connection it asks whether the
+// call may still begin.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
   DocId doc{};
   int transmission = 0;
   Millis timeout = 0;
-  std::string_view id, idempotency_key, body;  // of the held document; copied into the request
+  std::string_view id, idempotency_key, body;  // of the stored document; copied into the request
 };
 
 class Endpoints {
@@ -36,80 +36,79 @@
   Endpoints(EventLoop& loop, const Limits& limits);
   ~Endpoints();
 
-  // What goes to the process that takes this one's place: a connection, with the call on it.
+  // A transmission whose outcome has not been reported yet.
   struct InFlightTransmission {
     DocId doc{};
     int transmission = 0;
     Millis deadline = 0;
     std::string id;
   };
-  struct ConnectionState {
+  // A connection and the call on it, as handed over to a successor process.
+  struct ConnectionSnapshot {
     EndpointId endpoint{};
     Address address;
     Stream::Snapshot stream;
     std::vector<InFlightTransmission> transmissions;
-    std::string request;  // not begun
-    bool is_batch = false, deferred = false, connection_close = false, draining = false;
-    Millis started_at = 0, idle_since = 0, idle_before_use = 0;
+    std::string request;  // not written yet
+    bool is_batch = false, deferred = false, connection_closed = false, draining = false;
+    Millis started_at = 0, idle_since = 0, connection_idle_time = 0;
   };
-  std::vector<ConnectionState> export_connections() const;
-  void import_connections(const std::vector<ConnectionState>& kept);
+  std::vector<ConnectionSnapshot> snapshot() const;
+  void restore(const std::vector<ConnectionSnapshot>& snapshots);
   std::vector<std::pair<EndpointId, Address>> addresses() const;
   std::size_t connections() const { return connections_; }
-  int connections(EndpointId endpoint) const;  // those coming up counted
+  int connections(EndpointId endpoint) const;  // including those still connecting
   std::size_t calls_in_flight() const { return active_.size(); }
-  void close_all_idle();  // at once
+  void close_all_idle();  // immediately
 
   static constexpr std::size_t max_body_bytes = 65536;
-  static std::size_t batch_item_bytes(std::string_view id, std::string_view mark, std::string_view body);
+  static std::size_t batch_item_bytes(std::string_view id, std::string_view idempotency_key,
+                                      std::string_view body);
 
   std::function<void(const Outcome&)> on_outcome;
   std::function<void(DocId, int)> on_connecting;
   std::function<SendPermission(DocId, int)> may_begin;
-  std::function<bool(DocId)> is_finished;  // has its end, told or owed
-  // Asked right before a call's first byte is written: from then on it may run. False: it may not be written.
+  std::function<bool(DocId)> is_finished;  // the document has ended, whether or not its notice was sent
+  // Called right before a call's first byte is written, because from then on it may run. False: it may not be
+  // written.
   std::function<bool(EndpointId, const std::vector<InFlightTransmission>&)> before_write;
-  Millis max_idle_time = 0;  // set before each turn's calls: a connection idle for longer is not used again
+  Millis max_idle_time = 0;  // set before each turn's calls: a connection idle for longer is not reused
 
-  void set_timeouts(Millis connect_within, Millis idle_life);  // of connections opened, or idle, from now on
+  // Applies to connections opened or becoming idle from now on.
+  void set_timeouts(Millis connect_timeout, Millis idle_timeout);
   void set_address(EndpointId endpoint, const Address& address);
-  // A connection that no call asks for: it comes up as any other, and lies idle then. A call may take it
-  // before. False, and nothing is opened: the endpoint has no place, or no descriptor is left that nobody
-  // has.
+  // Opens a connection before any call needs it; once connected it is idle. A call may take it before it is
+  // connected. Returns false and opens nothing if the endpoint is unknown or the connection limit is reached.
   bool preconnect(EndpointId endpoint);
-  enum class PreconnectEvent {
-    connected,
-    used,
-    failed,
-    unused
-  };  // up: idle; the others end what is told of it
-  std::function<void(EndpointId, PreconnectEvent)> on_preconnect;  // must not enter this object
-  void call(EndpointId endpoint, const std::vector<OutboundTransmission>& parcels);  // several: one call
+  // connected: now idle; each of the others is the last event of a connection
+  enum class PreconnectEvent { connected, used, failed, unused };
+  std::function<void(EndpointId, PreconnectEvent)> on_preconnect;  // must not call into this object
+  void call(EndpointId endpoint, const std::vector<OutboundTransmission>& transmissions);  // all in one call
   void cancel(DocId doc, int transmission);
-  void resume_deferred();  // with calls that were told to begin later
-  void close_idle(EndpointId endpoint, Millis idle_least = 0);
-  void remove(EndpointId endpoint);  // no call of it is out
+  void resume_deferred();  // calls that were told to begin later
+  void close_idle(EndpointId endpoint, Millis min_idle = 0);
+  void remove(EndpointId endpoint);  // it must have no call in flight
   bool no_calls_in_flight() const { return active_.empty(); }
 
  private:
   class Connection;
   struct Pool {
     Address address;
-    std::list<std::unique_ptr<Connection>> idle;  // the last used first
+    std::list<std::unique_ptr<Connection>> idle;  // most recently used first
   };
 
-  void release(Connection& line);
-  void discard(Connection& line);
+  void release(Connection& connection);
+  void discard(Connection& connection);
   bool ensure_capacity();
-  void discard_idle(std::unique_ptr<Connection> line);
-  void release_preconnected(Connection& line);
+  void discard_idle(std::unique_ptr<Connection> connection);
+  void release_preconnected(Connection& connection);
 
   EventLoop& loop_;
   Limits limits_;
   std::map<EndpointId, Pool> pools_;
   std::map<const Connection*, std::unique_ptr<Connection>> active_;
   std::map<std::pair<DocId, int>, Connection*> in_flight_;
-  std::vector<std::pair<DocId, int>> deferred_;  // up, and told to begin later
+  std::vector<std::pair<DocId, int>> deferred_;  // connected, and told to begin later
   std::size_t connections_ = 0;
 };
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -1,5 +1,5 @@
-// The turns of one relay; relay.h says what it owns. The order in settle() is a promise to clients and
-// endpoints: what outlives the process comes first. No wait, retry or choice may be made here.
+// The turns of a relay. The order in end_turn() is a guarantee to clients and endpoints: the store is written
+// before replies and calls. Waits, retries and choices are left to the decision module.
 
 #include "relay/relay.h"
 
@@ -16,54 +16,58 @@
 namespace rockcrank {
 namespace {
 
-// The protocol's times of a planned restart: connections still come for 0.2 to 0.4 s after SIGTERM, and
+// The platform's times of a planned restart: clients still connect for 0.2 to 0.4 s after SIGTERM, and
 // SIGKILL comes no sooner than 3.7 s after it.
-constexpr Millis connections_come = 500;
-constexpr Millis gone_within = 3500;
-// The last of that time: answers given now still get through, and what clients send meanwhile is read and
-// dropped.
-constexpr Millis last_answers = 300;
-constexpr Millis metrics_every = 10000;
-constexpr Millis look_again = 50;  // for the end of a process that keeps its file
-constexpr int baggage_form = 1;    // changed with every change of what pack() gives
+constexpr Millis accept_grace = 500;
+constexpr Millis shutdown_timeout = 3500;
+// The last part of that time: replies sent now still reach the clients, and what clients send meanwhile is
+// read and dropped.
+constexpr Millis final_reply_time = 300;
+constexpr Millis metrics_interval = 10000;
+constexpr Millis orphan_poll_interval = 50;  // for the end of a process that still owns its file
+constexpr int handover_format = 1;           // incremented with every change of what export_state() returns
 
 using Json = nlohmann::json;
 
-Store::HandoverState passed_store(const Json& state, HandoverPayload& baggage) {
-  if (state.at("form") != baggage_form) throw std::runtime_error("what is handed over is of another form");
+Store::HandoverState store_from_handover(const Json& state, HandoverPayload& payload) {
+  if (state.at("form") != handover_format)
+    throw std::runtime_error("the handover state has an unknown format");
   const Json& store = state.at("store");
-  Store::HandoverState passed;
-  passed.path = store.at(0).get<std::string>(), passed.snapshot = store.at(1).get<std::string>();
-  passed.descriptor = baggage.take_descriptor(store.at(2).get<std::size_t>()),
-  passed.last_doc_number = store.at(3).get<std::uint64_t>();
-  passed.file_bytes = store.at(4).get<std::size_t>(), passed.rewrite_needed = store.at(5).get<bool>();
-  return passed;
+  Store::HandoverState handover;
+  handover.path = store.at(0).get<std::string>(), handover.snapshot = store.at(1).get<std::string>();
+  handover.descriptor = payload.take_descriptor(store.at(2).get<std::size_t>()),
+  handover.last_doc_number = store.at(3).get<std::uint64_t>();
+  handover.file_bytes = store.at(4).get<std::size_t>(), handover.rewrite_needed = store.at(5).get<bool>();
+  return handover;
 }
 
-std::string busy(Millis wait) {
+std::string busy_reply(Millis wait) {
   return wait > 0 ? "-BUSY " + std::to_string(static_cast<long>(std::ceil(wait))) + "\r\n" : "-BUSY\r\n";
 }
 
 }  // namespace
 
-Relay::Relay(Config config, EventLoop& loop, AdminServer* admin, HandoverPayload* baggage, bool notes)
+Relay::Relay(Config config, EventLoop& loop, AdminServer* admin, HandoverPayload* payload,
+             bool gossip_enabled)
     : Relay(std::move(config), loop, admin,
-            baggage ? nlohmann::json::from_cbor(baggage->state) : nlohmann::json(), baggage, notes) {}
+            payload ? nlohmann::json::from_cbor(payload->state) : nlohmann::json(), payload, gossip_enabled) {
+}
 
 Relay::Relay(Config config, EventLoop& loop, AdminServer* admin, const nlohmann::json& state,
-             HandoverPayload* baggage, bool notes)
+             HandoverPayload* payload, bool gossip_enabled)
     : config_(std::move(config)),
       fleet_config_(peer::read_fleet(config_)),
       loop_(loop),
-      store_(baggage ? Store(config_.state_folder, config_.max_disk_bytes, passed_store(state, *baggage))
-                     : Store(config_.state_folder, config_.max_disk_bytes - peer::disk_kept(fleet_config_))),
+      store_(payload
+                 ? Store(config_.state_folder, config_.max_disk_bytes, store_from_handover(state, *payload))
+                 : Store(config_.state_folder, config_.max_disk_bytes - peer::disk_kept(fleet_config_))),
       decision_(Decision::make(config_.settings, config_.seed)),
       clients_(loop_, config_.listen, config_.inherited_socket,
                {config_.max_client_connections, config_.max_idle_clients}),
       endpoints_(loop_, {config_.settings.connect_timeout, config_.idle_timeout,
                          config_.max_endpoint_connections - peer::descriptors_kept(fleet_config_)}),
       watch_(loop_, config_.discovery),
-      notices_(loop_, config_.discovery),
+      reports_(loop_, config_.discovery),
       turn_timer_(loop_, [this] { end_turn(); }),
       shutdown_timer_(loop_, [this] { continue_shutdown(); }),
       signals_(
@@ -71,7 +75,7 @@
       admin_(admin),
       adopt_timer_(loop_, [this] { adopt_orphaned_documents(); }),
       metrics_timer_(loop_, [this] { log_metrics(); }) {
-  clients_.on_enqueue = [this](const EnqueueCommand& handed, ReplyTo to) { enqueue(handed, to); };
+  clients_.on_enqueue = [this](const EnqueueCommand& command, ReplyTo to) { enqueue(command, to); };
   endpoints_.on_outcome = [this](const Outcome& outcome) { on_outcome(outcome); };
   endpoints_.on_connecting = [this](DocId doc, int transmission) {
     decision_->note_connecting(doc, transmission);
@@ -99,23 +103,24 @@
     try {
       apply_endpoint_list(config_.parse_endpoint_list(nlohmann::json::parse(body)));
       if (auto failures = std::exchange(list_failures_, 0); failures > 0)
-        log_line("watch: version %lld after %d failures", static_cast<long long>(list_version_), failures);
+        log_line("endpoint list: version %lld after %d failures", static_cast<long long>(list_version_),
+                 failures);
       return true;
     } catch (const std::exception& error) {
-      log_line("watch: %s", error.what());
+      log_line("endpoint list: %s", error.what());
       return false;
     }
   };
-  notices_.on_acknowledged = [this](DocId doc) {
+  reports_.on_acknowledged = [this](DocId doc) {
     store_.remove(doc);
     begin_turn();
     decision_->withdraw(doc);
   };
-  notices_.backoff_after = [this](int failures) { return decision_->retry_backoff(failures); };
-  if (baggage) take_over(state, *baggage);
+  reports_.backoff_after = [this](int failures) { return decision_->retry_backoff(failures); };
+  if (payload) take_over(state, *payload);
   if (fleet_config_) start_fleet();
   else route_state_store_.emplace(store_, *decision_);
-  if (!fleet_config_ && notes && config_.gossip_allowed && !baggage)
+  if (!fleet_config_ && gossip_enabled && config_.gossip_allowed && !payload)
     whisper_ = std::make_unique<peer::Whisper>(loop_, *decision_, config_, [this] { begin_turn(); });
 }
 
@@ -148,7 +153,8 @@
     };
   }
   signals_.unblock_reload();
-  // Guards against a SIGHUP that the process before had while it handed over: this one read the file before.
+  // A SIGHUP may have reached the previous process during the handover, after this one had read the
+  // configuration.
   if (taken_over_) reload_config();
   begin_turn();
   for (const auto& endpoint : store_.offline_endpoints())
@@ -158,36 +164,38 @@
   if (route_state_store_ && !taken_over_) route_state_store_->restore();
   if (store_.has_recovered_file()) decision_->previous_process_ended();
   std::vector<DocId> all;
-  for (const auto& [doc, held] : store_.documents())
-    if (!taken_over_ || held.ended) all.push_back(doc);
+  for (const auto& [doc, stored] : store_.documents())
+    if (!taken_over_ || stored.ended) all.push_back(doc);
   for (DocId doc : all) resume_document(doc);
-  // A process that would not hand over may still send: nothing goes from here until it has ended.
-  if (!store_.is_sole_process()) decision_->pause_sending(true), adopt_timer_.set(loop_.now() + look_again);
+  // A process that did not hand over may still send, so nothing is sent from here until it has ended.
+  if (!store_.is_sole_process())
+    decision_->pause_sending(true), adopt_timer_.set(loop_.now() + orphan_poll_interval);
   clients_.resume_reading();
   end_turn();
   if (config_.inherited_socket >= 0) {
     successor_ = std::make_unique<HandoverServer>(loop_, config_.state_folder);
-    successor_->make_payload = [this](const std::string& numbering) { return export_state(numbering); };
+    successor_->make_payload = [this](const std::string& numbering) {
+      return make_handover_payload(numbering);
+    };
     successor_->on_complete = [this] {
       handed_over_ = true;
       loop_.stop();
     };
   }
-  log_line("%s serves%s", config_.name.c_str(),
-           taken_over_                ? ", taken over whole"
+  log_line("%s is serving%s", config_.name.c_str(),
+           taken_over_                ? ", state taken over from the previous process"
            : store_.is_sole_process() ? ""
-                                      : ", and sends when the process before it has ended");
-  metrics_timer_.set(loop_.now() + metrics_every);
+                                      : "; it sends once the previous process has ended");
+  metrics_timer_.set(loop_.now() + metrics_interval);
   loop_.run();
   log_metrics();
-  // Guards against the platform's signal to end, which follows a hand-over, while this process is ending
-  // already.
+  // The platform sends SIGTERM after a handover; it must not disturb the end of this process.
   if (handed_over_) {
     signals_.set_terminating();
-    return log_line("%s is handed over", config_.name.c_str());
+    return log_line("%s: handover complete", config_.name.c_str());
   }
   store_.flush();
-  log_line("%s ends with %zu documents held", config_.name.c_str(), store_.documents().size());
+  log_line("%s stopped, %zu documents held", config_.name.c_str(), store_.documents().size());
   if (fleet_) log_line("fleet: %s", fleet_->figures().c_str());
 }
 
@@ -195,98 +203,104 @@
   if (std::exchange(turn_open_, true)) return;
   decision_->begin_turn(turn_began_ = loop_.now());
   for (const auto& outcome : std::exchange(unsent_outcomes_, {})) decision_->outcome(outcome);
-  // Turns come at most once a tick, as the module's settings say, so that what comes together goes together.
+  // At most one turn per tick, which is a setting, so that documents arriving together can be sent together.
   turn_timer_.set(std::max(loop_.now(), last_turn_at_ + config_.settings.tick));
 }
 
-Document Relay::to_document(const StoredDocument& held, DocId doc, Millis wall) const {
+Document Relay::to_document(const StoredDocument& stored, DocId doc, Millis wall) const {
   Document document;
   document.id = doc;
-  document.type = decision_->type_id(held.type), document.max_transmissions = held.max_transmissions;
-  auto tenant = config_.tenants.find(held.tenant);
-  document.tenant = tenant == config_.tenants.end() ? TenantId(UINT32_MAX) : tenant->second;  // of no share
-  document.destination = held.destination;
-  document.has_key = held.order_key.find_first_not_of('0') != std::string::npos;
-  document.key = KeyId(fnv1a_hash(held.order_key));
-  document.time_left = held.expiry - wall;
-  document.transmissions = held.transmissions;
-  document.may_have_run = !held.in_doubt.empty();
+  document.type = decision_->type_id(stored.type), document.max_transmissions = stored.max_transmissions;
+  auto tenant = config_.tenants.find(stored.tenant);
+  document.tenant = tenant == config_.tenants.end() ? TenantId(UINT32_MAX) : tenant->second;  // has no share
+  document.destination = stored.destination;
+  document.has_key = stored.order_key.find_first_not_of('0') != std::string::npos;
+  document.key = KeyId(fnv1a_hash(stored.order_key));
+  document.time_left = stored.expiry - wall;
+  document.transmissions = stored.transmissions;
+  document.may_have_run = !stored.in_doubt.empty();
   if (document.may_have_run) {
-    document.may_have_run_ago = std::max(0.0, wall - held.in_doubt.front().sent_at);
-    document.may_have_run_zone = held.in_doubt.front().zone;
+    document.may_have_run_ago = std::max(0.0, wall - stored.in_doubt.front().sent_at);
+    document.may_have_run_zone = stored.in_doubt.front().zone;
   }
   return document;
 }
 
 void Relay::resume_document(DocId doc) {
-  if (!owns(doc) || deferred_ends_.count(doc)) return;  // the fleet asks again once nobody else has it
-  StoredDocument& held = store_.documents().at(doc);
-  // Guards against an upgrade from a version whose files name a type only.
-  if (auto type = config_.doc_types.find(held.doc_type); held.max_transmissions == 0 && !held.ended) {
+  if (!owns(doc) || deferred_ends_.count(doc)) return;  // the fleet resumes it once no other relay owns it
+  StoredDocument& stored = store_.documents().at(doc);
+  // Files of version 0.2.0 have only the name of the type.
+  if (auto type = config_.doc_types.find(stored.doc_type); stored.max_transmissions == 0 && !stored.ended) {
     if (type == config_.doc_types.end()) return end_document(doc, false, 0);
-    held.type = type->second, held.max_transmissions = config_.settings.max_transmissions;
+    stored.type = type->second, stored.max_transmissions = config_.settings.max_transmissions;
   }
-  if (!held.ended) return decision_->accept(to_document(held, doc, EventLoop::wall_time()));
-  if (Document ended = to_document(held, doc, EventLoop::wall_time()); held.type.in_order && ended.has_key) {
+  if (!stored.ended) return decision_->accept(to_document(stored, doc, EventLoop::wall_time()));
+  if (Document ended = to_document(stored, doc, EventLoop::wall_time());
+      stored.type.in_order && ended.has_key) {
     ended.ended = true;
     decision_->accept(ended);
   }
-  notices_.report(doc, held.id, held.rejected, held.reject_wait);
+  reports_.report(doc, stored.id, stored.rejected, stored.reject_wait);
 }
 
-// Documents of a process that has ended without handing over, as after a restart.
+// Resumes the documents of a process that has ended without a handover, as after a restart.
 void Relay::adopt_orphaned_documents() {
   begin_turn();
   for (DocId doc : store_.adopt_orphaned_files()) resume_document(doc);
   decision_->previous_process_ended();
-  if (!store_.is_sole_process()) return adopt_timer_.set(loop_.now() + look_again);
+  if (!store_.is_sole_process()) return adopt_timer_.set(loop_.now() + orphan_poll_interval);
   decision_->pause_sending(false);
-  log_line("%s sends: the process before it has ended", config_.name.c_str());
+  log_line("%s starts sending: the previous process has ended", config_.name.c_str());
 }
 
-// All that this process knows and holds, between two turns, so that each request that came is answered.
-std::optional<HandoverPayload> Relay::export_state(const std::string& numbering) {
-  // Guards against kinds and halls that mean others there: what is numbered so cannot be handed over.
+// The whole state of this process, taken between two turns so that each command received is answered.
+std::optional<HandoverPayload> Relay::make_handover_payload(const std::string& numbering) {
+  // If kinds and zones are numbered differently there, the numbers in the state would mean others.
   if (numbering != config_.numbering_hash)
-    return log_line("not handed over: kinds or zones differ"), std::nullopt;
-  // Leases and copies are bound to this process's life: another begins as after a restart.
-  if (fleet_) return log_line("not handed over: a member of a fleet restarts"), std::nullopt;
+    return log_line("handover refused: kinds or zones differ"), std::nullopt;
+  // Leases and copies belong to this incarnation; the next process starts as after a restart.
+  if (fleet_) return log_line("handover refused: a member of a fleet has to restart"), std::nullopt;
   end_turn();
   begin_turn();
-  // Both processes have the connections for a moment, and the limit on descriptors is one.
+  // Both processes hold the connections for a moment, and they share the limit on descriptors.
   if (2 * (clients_.size() + endpoints_.connections()) >
       config_.max_client_connections + config_.max_endpoint_connections)
     clients_.close_idle(), endpoints_.close_all_idle();
-  HandoverPayload baggage;
-  auto place = [&](int fd) { return baggage.descriptors.push_back(fd), baggage.descriptors.size() - 1; };
-  auto stream = [&](const Stream::Snapshot& kept) {
-    return Json::array({place(kept.fd), kept.connecting, kept.unconsumed, kept.unsent});
+  HandoverPayload payload;
+  auto add_descriptor = [&](int fd) {
+    return payload.descriptors.push_back(fd), payload.descriptors.size() - 1;
+  };
+  auto stream = [&](const Stream::Snapshot& snapshot) {
+    return Json::array(
+        {add_descriptor(snapshot.fd), snapshot.connecting, snapshot.unconsumed, snapshot.unsent});
   };
   auto store = store_.handover_state();
-  Json all{{"form", baggage_form}, {"version", list_version_}, {"decision", decision_->export_state()}};
-  all["store"] = {store.path,       store.snapshot,      place(store.descriptor), store.last_doc_number,
-                  store.file_bytes, store.rewrite_needed};
+  Json all{{"form", handover_format}, {"version", list_version_}, {"decision", decision_->export_state()}};
+  all["store"] = {
+      store.path,       store.snapshot,      add_descriptor(store.descriptor), store.last_doc_number,
+      store.file_bytes, store.rewrite_needed};
   for (const auto& [endpoint, entry] : known_endpoints_)
     all["known"].push_back(
         Json::array({endpoint, entry.destination, entry.kind, entry.zone, entry.listed_rate}));
   for (const auto& [endpoint, at] : endpoints_.addresses())
     all["places"].push_back(Json::array({endpoint, at.host, at.port}));
-  for (const auto& one : clients_.export_connections())
+  for (const auto& one : clients_.snapshot())
     all["clients"].push_back(Json::array(
         {stream(one.stream), one.has_sent_command, one.input_ended, one.closing, one.last_used_at}));
-  for (const auto& one : endpoints_.export_connections()) {
+  for (const auto& one : endpoints_.snapshot()) {
     auto items = Json::array();
     for (const auto& item : one.transmissions)
       items.push_back(Json::array({item.doc, item.transmission, item.deadline, item.id}));
-    all["calls"].push_back(Json::array({one.endpoint, one.address.host, one.address.port, stream(one.stream),
-                                        items, one.request, one.is_batch, one.deferred, one.connection_close,
-                                        one.draining, one.started_at, one.idle_since, one.idle_before_use}));
+    all["calls"].push_back(
+        Json::array({one.endpoint, one.address.host, one.address.port, stream(one.stream), items, one.request,
+                     one.is_batch, one.deferred, one.connection_closed, one.draining, one.started_at,
+                     one.idle_since, one.connection_idle_time}));
   }
-  Json::to_cbor(all, baggage.state);
-  return baggage;
+  Json::to_cbor(all, payload.state);
+  return payload;
 }
 
-void Relay::take_over(const Json& state, HandoverPayload& baggage) {
+void Relay::take_over(const Json& state, HandoverPayload& payload) {
   decision_->import_state(state.at("decision").get<std::string>());
   list_version_ = state.at("version").get<std::int64_t>();
   auto list = [&](const char* name) { return state.value(name, Json::array()); };
@@ -300,34 +314,34 @@
   for (const auto& one : list("places"))
     endpoints_.set_address(one.at(0).get<EndpointId>(), {one.at(1).get<std::string>(), one.at(2).get<int>()});
   auto stream = [&](const Json& one) {
-    return Stream::Snapshot{baggage.take_descriptor(one.at(0).get<std::size_t>()), one.at(1).get<bool>(),
+    return Stream::Snapshot{payload.take_descriptor(one.at(0).get<std::size_t>()), one.at(1).get<bool>(),
                             one.at(2).get<std::string>(), one.at(3).get<std::string>()};
   };
-  std::vector<Clients::ConnectionState> clients;
+  std::vector<Clients::ConnectionSnapshot> clients;
   for (const auto& one : list("clients"))
     clients.push_back({stream(one.at(0)), one.at(1).get<bool>(), one.at(2).get<bool>(), one.at(3).get<bool>(),
                        one.at(4).get<double>()});
-  clients_.import_connections(clients);
-  std::vector<Endpoints::ConnectionState> calls;
+  clients_.restore(clients);
+  std::vector<Endpoints::ConnectionSnapshot> calls;
   for (const auto& one : list("calls")) {
-    Endpoints::ConnectionState kept{one.at(0).get<EndpointId>(),
-                                    {one.at(1).get<std::string>(), one.at(2).get<int>()},
-                                    stream(one.at(3)),
-                                    {},
-                                    one.at(5).get<std::string>(),
-                                    one.at(6).get<bool>(),
-                                    one.at(7).get<bool>(),
-                                    one.at(8).get<bool>(),
-                                    one.at(9).get<bool>(),
-                                    one.at(10).get<double>(),
-                                    one.at(11).get<double>(),
-                                    one.at(12).get<double>()};
+    Endpoints::ConnectionSnapshot snapshot{one.at(0).get<EndpointId>(),
+                                           {one.at(1).get<std::string>(), one.at(2).get<int>()},
+                                           stream(one.at(3)),
+                                           {},
+                                           one.at(5).get<std::string>(),
+                                           one.at(6).get<bool>(),
+                                           one.at(7).get<bool>(),
+                                           one.at(8).get<bool>(),
+                                           one.at(9).get<bool>(),
+                                           one.at(10).get<double>(),
+                                           one.at(11).get<double>(),
+                                           one.at(12).get<double>()};
     for (const auto& item : one.at(4))
-      kept.transmissions.push_back({item.at(0).get<DocId>(), item.at(1).get<int>(), item.at(2).get<double>(),
-                                    item.at(3).get<std::string>()});
-    calls.push_back(std::move(kept));
+      snapshot.transmissions.push_back({item.at(0).get<DocId>(), item.at(1).get<int>(),
+                                        item.at(2).get<double>(), item.at(3).get<std::string>()});
+    calls.push_back(std::move(snapshot));
   }
-  endpoints_.import_connections(calls);
+  endpoints_.restore(calls);
   taken_over_ = true;
 }
 
@@ -338,7 +352,7 @@
     auto fits = static_cast<std::size_t>(listed.entry.kind) < config_.settings.destination_kinds.size();
     if (!fits) continue;
     entries.push_back(listed.entry);
-    // One that is not listed is only of account while it is known from before.
+    // One that is not listed matters only if it is known from before.
     if (listed.entry.status != EndpointStatus::ready && !known_endpoints_.count(listed.entry.endpoint))
       continue;
     if (listed.address.port != 0) endpoints_.set_address(listed.entry.endpoint, listed.address);
@@ -348,61 +362,65 @@
   list_version_ = list.version;
 }
 
-void Relay::enqueue(const EnqueueCommand& handed, ReplyTo answer_to) {
-  auto say = [&](const char* text) { clients_.reply(answer_to, text); };
-  StoredDocument held;
-  held.id = handed.id, held.order_key = handed.order_key, held.body = handed.body;
-  Millis left = -1;
-  bool addressed = false;
+void Relay::enqueue(const EnqueueCommand& command, ReplyTo reply_to) {
+  auto reply = [&](const char* text) { clients_.reply(reply_to, text); };
+  StoredDocument stored;
+  stored.id = command.id, stored.order_key = command.order_key, stored.body = command.body;
+  Millis time_left = -1;
+  bool has_destination = false;
   try {
-    auto rest = handed.attributes;
-    while (!rest.empty()) {
-      auto pair = next_token(rest, ',');
+    auto attributes = command.attributes;
+    while (!attributes.empty()) {
+      auto pair = next_token(attributes, ',');
       auto equals = pair.find('=');
       if (equals == std::string_view::npos) continue;
       auto name = pair.substr(0, equals), value = pair.substr(equals + 1);
-      if (name == "c") held.doc_type = value;
-      else if (name == "d") left = parse_number(value, "d");
-      else if (name == "k") held.idempotency_key = value;
-      else if (name == "t") held.tenant = value;
+      if (name == "c") stored.doc_type = value;
+      else if (name == "d") time_left = parse_number(value, "d");
+      else if (name == "k") stored.idempotency_key = value;
+      else if (name == "t") stored.tenant = value;
       else if (name == "dest")
-        held.destination = DestinationId(parse_integer(value, "dest", 0, INT64_MAX)), addressed = true;
+        stored.destination = DestinationId(parse_integer(value, "dest", 0, INT64_MAX)),
+        has_destination = true;
     }
   } catch (const ParseError& fault) {
-    log_line("client: %s", fault.what());
-    return say("-ERR bad value\r\n");
+    log_line("invalid command from a client: %s", fault.what());
+    return reply("-ERR bad value\r\n");
   }
-  if (held.body.size() > Endpoints::max_body_bytes) return say("-ERR body too large\r\n");
-  if (!config_.doc_types.count(held.doc_type) || left < 0 || !addressed || held.id.empty() ||
-      !is_printable(held.id) || !is_printable(held.idempotency_key) ||
-      held.id.size() + held.idempotency_key.size() + held.order_key.size() + held.tenant.size() > 1024)
-    return say("-ERR bad document\r\n");
-  // Guards against a second document under an id that is held: its end would be taken for the first one's.
-  if (store_.contains(held.id)) return say("-ERR the id is held already\r\n");
+  if (stored.body.size() > Endpoints::max_body_bytes) return reply("-ERR body too large\r\n");
+  if (!config_.doc_types.count(stored.doc_type) || time_left < 0 || !has_destination || stored.id.empty() ||
+      !is_printable(stored.id) || !is_printable(stored.idempotency_key) ||
+      stored.id.size() + stored.idempotency_key.size() + stored.order_key.size() + stored.tenant.size() >
+          1024)
+    return reply("-ERR bad document\r\n");
+  // The end of a second document with the same id would be taken for the end of the first.
+  if (store_.contains(stored.id)) return reply("-ERR the id is held already\r\n");
   begin_turn();
-  // What nobody has listed cannot be sent; the list may only be late, so the client may try again.
-  auto later = [&] { say(busy(decision_->retry_after(held.destination)).c_str()); };
-  if (!decision_->has_destination(held.destination)) return later();
-  auto bytes = held.id.size() + held.idempotency_key.size() + held.body.size() + held.order_key.size() + 128;
-  // A full room or a full store: nothing ran, so the client may try again.
-  if (!decision_->has_capacity() || !store_.has_room(bytes)) return later();
+  // A destination without endpoints cannot be sent to. The list may only be late, so the client may try
+  // again.
+  auto reply_busy = [&] { reply(busy_reply(decision_->retry_after(stored.destination)).c_str()); };
+  if (!decision_->has_destination(stored.destination)) return reply_busy();
+  auto bytes =
+      stored.id.size() + stored.idempotency_key.size() + stored.body.size() + stored.order_key.size() + 128;
+  // At the document limit or with a full store nothing ran, so the client may try again.
+  if (!decision_->has_capacity() || !store_.has_room(bytes)) return reply_busy();
   auto wall = EventLoop::wall_time();
-  held.expiry = wall + left;
-  held.type = config_.doc_types.at(held.doc_type),
-  held.max_transmissions = config_.settings.max_transmissions;
-  auto doc = store_.add(std::move(held));
-  new_documents_.push_back({doc, answer_to});
+  stored.expiry = wall + time_left;
+  stored.type = config_.doc_types.at(stored.doc_type),
+  stored.max_transmissions = config_.settings.max_transmissions;
+  auto doc = store_.add(std::move(stored));
+  new_documents_.push_back({doc, reply_to});
   if (!fleet_) decision_->accept(to_document(store_.documents().at(doc), doc, wall));
 }
 
 void Relay::on_outcome(const Outcome& outcome) {
   begin_turn();
-  bool never = outcome.result == TransmissionResult::refused ||
-               outcome.result == TransmissionResult::not_connected ||
-               outcome.result == TransmissionResult::not_sent;
+  bool never_ran = outcome.result == TransmissionResult::refused ||
+                   outcome.result == TransmissionResult::not_connected ||
+                   outcome.result == TransmissionResult::not_sent;
   if (store_.documents().count(outcome.doc)) {
     if (outcome.completed) store_.remove(outcome.doc);
-    else if (never) store_.record_never_ran(outcome.doc, outcome.transmission);
+    else if (never_ran) store_.record_never_ran(outcome.doc, outcome.transmission);
   }
   decision_->outcome(outcome);
   if (fleet_) fleet_->outcome(outcome);
@@ -410,22 +428,23 @@
 
 void Relay::end_document(DocId doc, bool rejected, Millis wait) {
   if (!store_.documents().count(doc)) return;
-  // Another may own it by now: its end is kept back until that is known, and is never told if so.
+  // Another relay may own it by now. Its end is deferred until that is known, and not announced in that case.
   if (!owns(doc)) return deferred_ends_[doc] = {rejected, wait}, void();
-  auto fresh =
+  auto new_document =
       std::find_if(new_documents_.begin(), new_documents_.end(), [&](const auto& a) { return a.doc == doc; });
-  if (fresh != new_documents_.end()) {
-    // Not yet taken on: the client hears it at once, and no notice is owed.
-    auto to = fresh->reply_to;
-    new_documents_.erase(fresh);
+  if (new_document != new_documents_.end()) {
+    // Not accepted yet: the client is told immediately, and no notice is needed.
+    auto reply_to = new_document->reply_to;
+    new_documents_.erase(new_document);
     store_.remove(doc);
     decision_->withdraw(doc);
-    return clients_.reply(to, rejected ? busy(wait) : "-ERR cannot be transmitted\r\n");
+    return clients_.reply(reply_to, rejected ? busy_reply(wait) : "-ERR cannot be transmitted\r\n");
   }
   store_.record_ended(doc, rejected, wait);
-  // Guards against an end told here and another by whoever takes over: a copy has to have noted it first.
+  // A copy must have recorded the end first, otherwise a relay that takes over could announce a different
+  // one.
   if (fleet_ && !fleet_->may_tell(doc)) return;
-  notices_.report(doc, store_.documents().at(doc).id, rejected, wait);
+  reports_.report(doc, store_.documents().at(doc).id, rejected, wait);
 }
 
 void Relay::end_turn() {
@@ -433,48 +452,50 @@
   if (fleet_) fleet_->before_turn(), end_deferred(), send_deferred();
   if (whisper_) whisper_->before_turn();
   endpoints_.resume_deferred();
-  auto decided = decision_->decide();
+  auto actions = decision_->decide();
   turn_open_ = false;
   last_turn_at_ = loop_.now();
   turn_timer_.clear();
-  if (fleet_) fleet_->after_turn(decided);
+  if (fleet_) fleet_->after_turn(actions);
   if (whisper_) whisper_->after_turn();
-  for (const auto& line : decided.log) log_line("%s", line.c_str());
-  for (const auto& reject : decided.rejected) end_document(reject.doc, true, reject.retry_after);
-  for (DocId doc : decided.abandoned) end_document(doc, false, 0);
-  // The store comes before the answers and before the sends: what outlives the process must know of both.
+  for (const auto& line : actions.log) log_line("%s", line.c_str());
+  for (const auto& reject : actions.rejected) end_document(reject.doc, true, reject.retry_after);
+  for (DocId doc : actions.abandoned) end_document(doc, false, 0);
+  // The store is written before replies and calls, so that a restart knows of both.
   for (const auto& one : new_documents_) store_.record_accepted(one.doc);
   auto wall = EventLoop::wall_time();
-  for (const auto& sent : decided.transmissions) {
+  for (const auto& sent : actions.transmissions) {
     auto found = store_.documents().find(sent.doc);
     if (found == store_.documents().end()) continue;
     auto transmission = found->second.transmissions;
     store_.record_transmission(sent.doc, transmission, wall, known_endpoints_.at(sent.endpoint).zone);
-    // It is counted here, but can only run once it is written: note_risk(). The fleet asks its copies before.
+    // The transmission is counted here, but can only run once its request is written; record_in_doubt()
+    // records that. With a fleet the copies have to confirm it before, so it stays recorded from here on.
     if (!fleet_) store_.record_never_ran(sent.doc, transmission);
   }
   if (route_state_store_) route_state_store_->save();
-  bool kept = store_.flush();
-  if (!kept) decided.transmissions = filter_sendable_unrecorded(decided.transmissions);
-  answer_new_documents(kept);
-  for (const auto& one : decided.closed_connections) endpoints_.close_idle(one.endpoint, one.min_idle_time);
-  endpoints_.max_idle_time = decided.max_idle_time;
-  if (fleet_) send_or_defer(decided.transmissions);
-  else send(decided.transmissions);
-  for (const auto& call : decided.canceled) endpoints_.cancel(call.doc, call.transmission);
-  for (EndpointId endpoint : decided.forgotten_endpoints)
+  bool flushed = store_.flush();
+  if (!flushed) actions.transmissions = filter_sendable_unrecorded(actions.transmissions);
+  answer_new_documents(flushed);
+  for (const auto& one : actions.closed_connections) endpoints_.close_idle(one.endpoint, one.min_idle_time);
+  endpoints_.max_idle_time = actions.max_idle_time;
+  if (fleet_) send_or_defer(actions.transmissions);
+  else send(actions.transmissions);
+  for (const auto& call : actions.canceled) endpoints_.cancel(call.doc, call.transmission);
+  for (EndpointId endpoint : actions.forgotten_endpoints)
     endpoints_.remove(endpoint), known_endpoints_.erase(endpoint);
-  if (decided.long_poll_wait > 0) watch_.start(decided.long_poll_wait, decided.discovery_timeout);
-  if (!turn_open_ && (decided.wake_in >= 0 || !unsent_outcomes_.empty())) {
-    auto wake = unsent_outcomes_.empty() ? decided.wake_in : 0.0;
+  if (actions.long_poll_wait > 0) watch_.start(actions.long_poll_wait, actions.discovery_timeout);
+  if (!turn_open_ && (actions.wake_in >= 0 || !unsent_outcomes_.empty())) {
+    auto wake = unsent_outcomes_.empty() ? actions.wake_in : 0.0;
     turn_timer_.set(loop_.now() + std::max(wake, config_.settings.tick));
   }
 }
 
-// Guards against giving up, after a kill, what was only chosen to go: a call that waits for its connection,
-// or stands behind the answers of its turn, has not run and is tried again after the restart.
+// Records the transmissions as possibly run only now, right before the request is written. A call that was
+// still waiting for its connection or its turn when the process was killed never ran, and is retried after
+// the restart.
 bool Relay::record_in_doubt(EndpointId endpoint, const std::vector<Endpoints::InFlightTransmission>& calls) {
-  if (fleet_) return true;  // noted when it was chosen
+  if (fleet_) return true;  // recorded when it was chosen
   auto wall = EventLoop::wall_time();
   for (const auto& call : calls)
     store_.record_transmission(call.doc, call.transmission, wall, known_endpoints_.at(endpoint).zone);
@@ -484,53 +505,52 @@
          });
 }
 
-bool Relay::may_send_unrecorded(const StoredDocument& held) {
-  return held.type.may_forget_transmission(held.expiry - EventLoop::wall_time());
+bool Relay::may_send_unrecorded(const StoredDocument& stored) {
+  return stored.type.may_forget_transmission(stored.expiry - EventLoop::wall_time());
 }
 
-// The store could not be written. What it would have to note before it goes does not go, nor any of a
-// document about to be given back. The rest, which is owed, goes on.
-std::vector<Transmit> Relay::filter_sendable_unrecorded(const std::vector<Transmit>& transmitted) {
-  std::vector<Transmit> going;
-  for (const auto& sent : transmitted) {
+// Used when the store could not be written. Drops transmissions that must be recorded before they are sent,
+// and those of new documents, which are about to be returned to their clients. Returns the rest.
+std::vector<Transmit> Relay::filter_sendable_unrecorded(const std::vector<Transmit>& transmissions) {
+  std::vector<Transmit> sendable;
+  for (const auto& sent : transmissions) {
     auto found = store_.documents().find(sent.doc);
     if (found == store_.documents().end()) continue;
-    bool arrived = std::ranges::any_of(new_documents_, [&](const auto& one) { return one.doc == sent.doc; });
-    if (!fleet_ && !arrived && may_send_unrecorded(found->second)) going.push_back(sent);
+    bool is_new = std::ranges::any_of(new_documents_, [&](const auto& one) { return one.doc == sent.doc; });
+    if (!fleet_ && !is_new && may_send_unrecorded(found->second)) sendable.push_back(sent);
     else report_not_sent(sent, found->second.transmissions - 1);
   }
-  return going;
+  return sendable;
 }
 
-// Ends that were kept back while it was not known whether this relay still owned the documents.
+// Processes the ends that were deferred while it was not known whether this relay still owned the documents.
 void Relay::end_deferred() {
-  for (const auto& [doc, kept] : std::exchange(deferred_ends_, {}))
-    end_document(doc, kept.rejected, kept.wait);
+  for (const auto& [doc, end] : std::exchange(deferred_ends_, {})) end_document(doc, end.rejected, end.wait);
 }
 
-// Calls that were kept back until a copy had noted their risk: the moment of sending is now, so the module is
-// asked once more whether they may begin.
+// Sends calls that were deferred until a copy had recorded their transmissions. The module is asked once more
+// whether they may begin, since that decision has aged.
 void Relay::send_deferred() {
-  std::vector<Transmit> going;
+  std::vector<Transmit> sendable;
   for (auto& call : std::exchange(deferred_calls_, {})) {
-    auto asked = SendPermission::now;
+    auto permission = SendPermission::now;
     for (const auto& [sent, transmission] : call) {
       auto found = store_.documents().find(sent.doc);
-      if (found == store_.documents().end() || found->second.ended) asked = SendPermission::never;
-      else if (!owns(sent.doc)) asked = SendPermission::never;
-      else if (!may_send(sent.doc, transmission)) asked = std::max(asked, SendPermission::later);
-      else asked = std::max(asked, decision_->may_send(sent.doc, transmission));
+      if (found == store_.documents().end() || found->second.ended) permission = SendPermission::never;
+      else if (!owns(sent.doc)) permission = SendPermission::never;
+      else if (!may_send(sent.doc, transmission)) permission = std::max(permission, SendPermission::later);
+      else permission = std::max(permission, decision_->may_send(sent.doc, transmission));
     }
-    if (asked == SendPermission::later) deferred_calls_.push_back(std::move(call));
+    if (permission == SendPermission::later) deferred_calls_.push_back(std::move(call));
     for (const auto& [sent, transmission] : call)
-      if (asked == SendPermission::now) going.push_back(sent);
+      if (permission == SendPermission::now) sendable.push_back(sent);
       else report_not_sent(sent, transmission);
   }
-  if (!going.empty()) send(going);
+  if (!sendable.empty()) send(sendable);
 }
 
-// It does not go after all. It has its outcome all the same, also where its document is over: the module
-// counts its calls by them, and would otherwise hold its slot for ever.
+// The transmission is not sent after all. Its outcome is reported even if the document has ended: the module
+// counts its calls by outcomes and would otherwise keep the slot forever.
 void Relay::report_not_sent(const Transmit& sent, int transmission) {
   Outcome outcome;
   outcome.doc = sent.doc, outcome.endpoint = sent.endpoint, outcome.result = TransmissionResult::not_sent;
@@ -539,7 +559,7 @@
   unsent_outcomes_.push_back(outcome);
 }
 
-// Another relay owns it: here it ends without a word.
+// Another relay owns the document: it is removed here without a notice.
 void Relay::release(DocId doc) {
   begin_turn();
   deferred_ends_.erase(doc), pending_replies_.erase(doc);
@@ -547,103 +567,107 @@
   store_.remove(doc);
 }
 
-void Relay::answer_pending(DocId doc, bool taken) {
+void Relay::answer_pending(DocId doc, bool accepted) {
   auto found = pending_replies_.find(doc);
   if (found == pending_replies_.end()) return;
-  // Each part has a word in it: the last one that says yes is followed.
-  if (taken && store_.documents().count(doc) && !fleet_->may_answer(doc)) return;
-  auto to = found->second;
+  // Every part of the fleet must agree, and the last one to do so triggers the reply.
+  if (accepted && store_.documents().count(doc) && !fleet_->may_answer(doc)) return;
+  auto reply_to = found->second;
   pending_replies_.erase(found);
   begin_turn();
   if (!store_.documents().count(doc)) return;
-  const StoredDocument& held = store_.documents().at(doc);
-  clients_.reply(to, taken ? "+OK\r\n" : busy(decision_->retry_after(held.destination)));
-  if (taken) decision_->accept(to_document(held, doc, EventLoop::wall_time()));
+  const StoredDocument& stored = store_.documents().at(doc);
+  clients_.reply(reply_to, accepted ? "+OK\r\n" : busy_reply(decision_->retry_after(stored.destination)));
+  if (accepted) decision_->accept(to_document(stored, doc, EventLoop::wall_time()));
   else store_.remove(doc);
 }
 
-void Relay::answer_new_documents(bool kept) {
+void Relay::answer_new_documents(bool flushed) {
   for (const auto& one : std::exchange(new_documents_, {})) {
-    if (fleet_ && kept) {
+    if (fleet_ && flushed) {
       pending_replies_[one.doc] = one.reply_to;
       answer_pending(one.doc, true);
       continue;
     }
     clients_.reply(
         one.reply_to,
-        kept ? "+OK\r\n" : busy(decision_->retry_after(store_.documents().at(one.doc).destination)));
-    if (kept) continue;
+        flushed ? "+OK\r\n" : busy_reply(decision_->retry_after(store_.documents().at(one.doc).destination)));
+    if (flushed) continue;
     decision_->withdraw(one.doc);
     store_.remove(one.doc);
   }
 }
 
-void Relay::send(const std::vector<Transmit>& transmitted) {
-  // Transmissions of one turn to one endpoint make one call, up to the number its kind allows, and to what
-  // the protocol lets a body hold.
-  struct Bundle {
+void Relay::send(const std::vector<Transmit>& transmissions) {
+  // Transmissions of one turn to one endpoint are batched into one call, up to the number its kind allows and
+  // the protocol's limit on the body.
+  struct Batch {
     EndpointId endpoint{};
-    std::vector<OutboundTransmission> parcels;
+    std::vector<OutboundTransmission> transmissions;
     std::size_t bytes = 0;
   };
-  std::vector<Bundle> calls;
+  std::vector<Batch> calls;
   std::unordered_map<std::uint64_t, std::size_t> open;
-  for (const auto& sent : transmitted) {
+  for (const auto& sent : transmissions) {
     auto found = store_.documents().find(sent.doc);
     if (found == store_.documents().end()) continue;
-    const StoredDocument& held = found->second;
+    const StoredDocument& stored = found->second;
     auto kind = static_cast<std::size_t>(known_endpoints_.at(sent.endpoint).kind);
-    auto most =
+    auto max_size =
         static_cast<std::size_t>(std::max(1, config_.settings.destination_kinds.at(kind).max_batch_size));
-    auto bytes = Endpoints::batch_item_bytes(held.id, held.idempotency_key, held.body);
-    auto [place, fresh] = open.try_emplace(static_cast<std::uint64_t>(sent.endpoint), calls.size());
-    if (!fresh) {
-      const Bundle& before = calls[place->second];
-      if (before.parcels.size() >= most || before.bytes + bytes > Endpoints::max_body_bytes) fresh = true;
+    auto bytes = Endpoints::batch_item_bytes(stored.id, stored.idempotency_key, stored.body);
+    auto [batch_index, starts_batch] =
+        open.try_emplace(static_cast<std::uint64_t>(sent.endpoint), calls.size());
+    if (!starts_batch) {
+      const Batch& current = calls[batch_index->second];
+      if (current.transmissions.size() >= max_size || current.bytes + bytes > Endpoints::max_body_bytes)
+        starts_batch = true;
     }
-    if (fresh) {
-      place->second = calls.size();
+    if (starts_batch) {
+      batch_index->second = calls.size();
       calls.push_back({sent.endpoint, {}, 0});
     }
-    Bundle& bundle = calls[place->second];
-    bundle.bytes += bytes;
-    bundle.parcels.push_back(
-        {sent.doc, held.transmissions - 1, sent.timeout, held.id, held.idempotency_key, held.body});
+    Batch& batch = calls[batch_index->second];
+    batch.bytes += bytes;
+    batch.transmissions.push_back(
+        {sent.doc, stored.transmissions - 1, sent.timeout, stored.id, stored.idempotency_key, stored.body});
   }
-  for (const auto& bundle : calls) endpoints_.call(bundle.endpoint, bundle.parcels);
+  for (const auto& batch : calls) endpoints_.call(batch.endpoint, batch.transmissions);
 }
 
-// Where the fleet has a word in it: a call of which a document may not go yet waits, whole.
-void Relay::send_or_defer(const std::vector<Transmit>& transmitted) {
+// With a fleet, a call waits as a whole while one of its documents may not be sent yet.
+void Relay::send_or_defer(const std::vector<Transmit>& transmissions) {
   std::map<EndpointId, std::vector<DeferredTransmission>> calls;
-  for (const auto& sent : transmitted)
+  for (const auto& sent : transmissions)
     if (auto found = store_.documents().find(sent.doc); found != store_.documents().end())
       calls[sent.endpoint].push_back({sent, found->second.transmissions - 1});
-  std::vector<Transmit> going;
+  std::vector<Transmit> sendable;
   for (auto& [endpoint, call] : calls) {
     bool now =
         std::ranges::all_of(call, [&](const auto& one) { return may_send(one.sent.doc, one.transmission); });
     for (const auto& one : call)
-      if (now) going.push_back(one.sent);
+      if (now) sendable.push_back(one.sent);
     if (!now) deferred_calls_.push_back(std::move(call));
   }
-  send(going);
+  send(sendable);
 }
 
-// Maintenance outlives this process: it is noted before the answer, and told to the module in the same round.
-std::string Relay::set_offline(const std::string& name, bool out) {
+// Maintenance outlives this process: it is stored before the answer, and reported to the module in the same
+// round.
+std::string Relay::set_offline(const std::string& name, bool offline) {
   EndpointId endpoint{fnv1a_hash(name)};
   if (!known_endpoints_.count(endpoint) && !store_.offline_endpoints().count(name))
     return "no such endpoint: " + rockcrank::quote_excerpt(name);
-  if (!store_.set_offline(name, out)) return "it cannot be noted: the folder is full or cannot be written";
+  if (!store_.set_offline(name, offline))
+    return "it cannot be noted: the folder is full or cannot be written";
   begin_turn();
-  decision_->set_offline(endpoint, out);
-  if (fleet_) fleet_->told_out(name, out);
-  log_line("endpoint %.60s is %s by staff", name.c_str(), out ? "taken out" : "put back");
+  decision_->set_offline(endpoint, offline);
+  if (fleet_) fleet_->told_out(name, offline);
+  log_line("endpoint %.60s is %s by staff", name.c_str(), offline ? "taken offline" : "put online");
   return {};
 }
 
-// Counts since the start of the process, by name. A violation is a rule that the module's own run-time check
+// Counters since the start of the process, by name. A violation is a rule that the module's run-time checks
 // found broken.
 std::string Relay::metrics() {
   const Counters& counters = decision_->counters();
@@ -675,64 +699,62 @@
   return text;
 }
 
-// A killed process says nothing at its end, so the counts are told now and then, where they have changed.
+// A killed process logs nothing at its end, so changed metrics are logged periodically.
 void Relay::log_metrics() {
-  metrics_timer_.set(loop_.now() + metrics_every);
+  metrics_timer_.set(loop_.now() + metrics_interval);
   std::string now = metrics();
   if (now != last_logged_metrics_) log_line("event=metrics %s", now.c_str());
   last_logged_metrics_ = now;
 }
 
-// SIGHUP: a new file counts whole or not at all. Documents held keep the type they were taken on with;
-// breakers, waits and cold returns live on. What is numbered in all that is held waits for the next start,
-// and so do addresses but the agent's, and limits of the process.
+// On SIGHUP a new configuration is applied completely or not at all. Stored documents keep the type they were
+// accepted with; circuit breakers, waits and slow starts continue. Numbered settings that the state refers
+// to, limits of the process, and all addresses but the agent's change only at the next start.
 void Relay::reload_config() {
   try {
-    auto fresh = read_config(&config_);
-    if (fresh.discovery != config_.discovery)
-      watch_.set_agent(fresh.discovery), notices_.set_agent(fresh.discovery);
-    log_line("read again: discovery at %s:%d, %zu document types, %d transmissions at most%s",
-             fresh.discovery.host.c_str(), fresh.discovery.port, fresh.doc_types.size(),
-             fresh.settings.max_transmissions,
-             fresh.restart_only_hash == config_.restart_only_hash
+    auto updated = read_config(&config_);
+    if (updated.discovery != config_.discovery)
+      watch_.set_agent(updated.discovery), reports_.set_agent(updated.discovery);
+    log_line("configuration reloaded: discovery at %s:%d, %zu document types, %d transmissions at most%s",
+             updated.discovery.host.c_str(), updated.discovery.port, updated.doc_types.size(),
+             updated.settings.max_transmissions,
+             updated.restart_only_hash == config_.restart_only_hash
                  ? ""
-                 : "; what else is new waits for the next start");
-    config_.discovery = fresh.discovery, config_.restart_only_hash = fresh.restart_only_hash;
-    config_.settings = std::move(fresh.settings), config_.doc_types = std::move(fresh.doc_types);
-    config_.tenants = std::move(fresh.tenants), config_.required_keys = std::move(fresh.required_keys);
-    endpoints_.set_timeouts(config_.settings.connect_timeout, fresh.idle_timeout);
+                 : "; other changes take effect at the next start");
+    config_.discovery = updated.discovery, config_.restart_only_hash = updated.restart_only_hash;
+    config_.settings = std::move(updated.settings), config_.doc_types = std::move(updated.doc_types);
+    config_.tenants = std::move(updated.tenants), config_.required_keys = std::move(updated.required_keys);
+    endpoints_.set_timeouts(config_.settings.connect_timeout, updated.idle_timeout);
     begin_turn();
     decision_->update_settings(config_.settings);
-  } catch (const std::exception& error) {
-    log_line("read again: the old configuration stays: %s", error.what());
-  }
+  } catch (const std::exception& error) { log_line("configuration not reloaded: %s", error.what()); }
 }
 
-// A planned end: clients are served on while their connections still come, then each connection is closed
-// between two requests; calls under way are let end, and what is held waits in the store.
+// A planned shutdown: clients are served while they still connect, then each connection is closed between two
+// commands. Calls in flight may end, and the remaining documents stay in the store.
 void Relay::begin_shutdown() {
   if (std::exchange(shutting_down_, true)) return;
-  log_line("%s is asked to end, %zu documents held", config_.name.c_str(), store_.documents().size());
-  shutdown_deadline_ = loop_.now() + gone_within;
+  log_line("%s is shutting down, %zu documents held", config_.name.c_str(), store_.documents().size());
+  shutdown_deadline_ = loop_.now() + shutdown_timeout;
   begin_turn();
-  decision_->begin_shutdown(gone_within);
+  decision_->begin_shutdown(shutdown_timeout);
   if (fleet_) fleet_->leave();
-  shutdown_timer_.set(loop_.now() + connections_come);
+  shutdown_timer_.set(loop_.now() + accept_grace);
 }
 
 void Relay::continue_shutdown() {
   auto now = loop_.now();
   clients_.stop_listening();
   clients_.close_after_replies();
-  if (now >= shutdown_deadline_ - last_answers) clients_.close_now();
-  // Guards against an end that resets a connection: over bytes that were not read, or over answers that were
-  // not sent. Each client's connection ends first, or its time to end is over.
-  bool clients_gone = clients_.size() == 0;
-  bool nothing_held =
-      endpoints_.no_calls_in_flight() && notices_.all_acknowledged() && store_.documents().empty();
-  bool done = clients_gone && nothing_held;
+  if (now >= shutdown_deadline_ - final_reply_time) clients_.close_now();
+  // Ending the process would reset connections with unread bytes or unsent replies, so it waits until all
+  // client connections are closed or the deadline has passed.
+  bool clients_closed = clients_.size() == 0;
+  bool all_delivered =
+      endpoints_.no_calls_in_flight() && reports_.all_acknowledged() && store_.documents().empty();
+  bool done = clients_closed && all_delivered;
   if (done || now >= shutdown_deadline_) {
-    // Guards against a message read in this round that would go without its answer.
+    // A document read in this round still gets its reply.
     if (turn_open_) end_turn();
     return loop_.stop();
   }
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -1,6 +1,6 @@
-// Owns one running relay: its parts, the decision module, and the turns in which the module is told what
-// happened and its answers are carried out. It must never decide itself: whether a document is taken, where
-// and when it goes, how long anything waits is all asked of the module.
+// One running relay: its components, the decision module, and the turns. In a turn the decision module is
+// told what has happened and its decisions are carried out. The relay itself decides nothing: whether a
+// document is accepted, where and when it is sent, and how long anything waits comes from the module.
 #pragma once
 
 #include <cstdint>
@@ -28,64 +28,64 @@
 
 class Relay {
  public:
-  // With baggage it starts as the process that gave it stopped; what it takes of that is marked there. It
-  // does nothing before it runs, so that it can still be given up.
-  // notes: short ones go to the other relays of the tier, where the settings allow them and no fleet file is
-  // named.
-  Relay(Config config, EventLoop& loop, AdminServer* admin, HandoverPayload* baggage, bool notes = false);
+  // With a handover it continues from the state of the previous process and takes the descriptors out of the
+  // handover. It does nothing before run(), so that it can still be discarded. gossip_enabled: exchange route
+  // state with the other relays of the tier by UDP, if the settings allow it and no fleet file is configured.
+  Relay(Config config, EventLoop& loop, AdminServer* admin, HandoverPayload* payload,
+        bool gossip_enabled = false);
   ~Relay();
-  void run();  // until a SIGTERM has been gone through, or all is handed over
+  void run();  // until the shutdown after a SIGTERM is complete, or all is handed over
 
  private:
-  // What came since the last turn, in its order.
+  // A document received since the last turn, not answered yet.
   struct NewDocument {
     DocId doc{};
     ReplyTo reply_to;
   };
 
   Relay(Config config, EventLoop& loop, AdminServer* admin, const nlohmann::json& state,
-        HandoverPayload* baggage, bool notes);
-  void take_over(const nlohmann::json& state, HandoverPayload& baggage);
-  std::optional<HandoverPayload> export_state(const std::string& numbering);
+        HandoverPayload* payload, bool gossip_enabled);
+  void take_over(const nlohmann::json& state, HandoverPayload& payload);
+  std::optional<HandoverPayload> make_handover_payload(const std::string& numbering);
   void adopt_orphaned_documents();
-  void resume_document(DocId doc);  // its end again, or its transmissions
-  Document to_document(const StoredDocument& held, DocId doc, Millis wall) const;
-  void enqueue(const EnqueueCommand& handed, ReplyTo answer_to);
+  void resume_document(DocId doc);  // delivers it, or repeats the notice of its end
+  Document to_document(const StoredDocument& stored, DocId doc, Millis wall) const;
+  void enqueue(const EnqueueCommand& command, ReplyTo reply_to);
   void on_outcome(const Outcome& outcome);
   void apply_endpoint_list(const EndpointListUpdate& list);
-  void begin_turn();  // opens a turn, if none is open
-  void end_turn();    // ends the turn: asks the module, notes, answers, sends
+  void begin_turn();  // opens a turn if none is open
+  void end_turn();    // asks the module, writes the store, replies to clients, sends
   bool record_in_doubt(EndpointId endpoint, const std::vector<Endpoints::InFlightTransmission>& calls);
   void report_not_sent(const Transmit& sent, int transmission);
-  std::vector<Transmit> filter_sendable_unrecorded(const std::vector<Transmit>& transmitted);
-  static bool may_send_unrecorded(const StoredDocument& held);
-  void answer_new_documents(bool kept);
-  void answer_pending(DocId doc, bool taken);
+  std::vector<Transmit> filter_sendable_unrecorded(const std::vector<Transmit>& transmissions);
+  static bool may_send_unrecorded(const StoredDocument& stored);
+  void answer_new_documents(bool flushed);
+  void answer_pending(DocId doc, bool accepted);
   void end_deferred();
   bool owns(DocId doc) { return !fleet_ || fleet_->owns(doc); }
   bool may_send(DocId doc, int transmission) { return owns(doc) && fleet_->may_go(doc, transmission); }
   void send_deferred();
-  void send_or_defer(const std::vector<Transmit>& transmitted);
+  void send_or_defer(const std::vector<Transmit>& transmissions);
   void start_fleet();
   void release(DocId doc);
   void end_document(DocId doc, bool rejected, Millis wait);
-  void send(const std::vector<Transmit>& transmitted);
+  void send(const std::vector<Transmit>& transmissions);
   std::string metrics();
   void log_metrics();
-  std::string set_offline(const std::string& endpoint, bool out);
+  std::string set_offline(const std::string& name, bool offline);
   void reload_config();
   void begin_shutdown();
   void continue_shutdown();
 
   Config config_;
-  const std::optional<peer::FleetConfig> fleet_config_;  // none where no fleet file is named
+  const std::optional<peer::FleetConfig> fleet_config_;  // none if no fleet file is configured
   EventLoop& loop_;
   Store store_;
   const std::unique_ptr<Decision> decision_;
   Clients clients_;
   Endpoints endpoints_;
   EndpointListWatch watch_;
-  ReportSender notices_;
+  ReportSender reports_;
   Timer turn_timer_, shutdown_timer_;
   Signals signals_;
   AdminServer* const admin_;
@@ -96,7 +96,7 @@
   std::optional<peer::Around> around_;
   std::unique_ptr<peer::Fleet> fleet_;
   std::unique_ptr<peer::Whisper> whisper_;
-  // What the fleet keeps back: answers to clients, ends, and calls with all that goes in them.
+  // Replies to clients, ends and calls that wait for the fleet's permission.
   struct DeferredEnd {
     bool rejected = false;
     Millis wait = 0;
@@ -109,11 +109,11 @@
   };
   std::vector<std::vector<DeferredTransmission>> deferred_calls_;
 
-  std::optional<RouteStateStore>
-      route_state_store_;  // where no fleet file is named: its shared state is kept else
+  // Without a fleet file only: the fleet shares this state otherwise.
+  std::optional<RouteStateStore> route_state_store_;
   std::map<EndpointId, EndpointEntry> known_endpoints_;
   std::vector<NewDocument> new_documents_;
-  std::vector<Outcome> unsent_outcomes_;  // told to the module in the next turn
+  std::vector<Outcome> unsent_outcomes_;  // reported to the module in the next turn
   std::int64_t list_version_ = -1;
   int list_failures_ = 0;
   Millis last_turn_at_ = -1e18, turn_began_ = 0;
--- a/src/relay/route_state_store.cpp
+++ b/src/relay/route_state_store.cpp
@@ -1,5 +1,5 @@
-// One note a route; route_memory.h says what this is for. A note that cannot be read is left out, with a line
-// in the log: it may never keep the relay from starting.
+// One metadata entry for each route. An entry that cannot be read is logged and removed; it doesn't keep the
+// relay from starting.
 #include "relay/route_state_store.h"
 
 #include <algorithm>
@@ -17,11 +17,11 @@
 
 constexpr const char* name_prefix = "route/";
 
-std::string note_name(const RouteStatus& known) {
+std::string metadata_name(const RouteStatus& known) {
   return name_prefix + std::string(known.per_endpoint ? "e" : "d") + std::to_string(known.route);
 }
 
-std::string note_text(const RouteStatus& known) {
+std::string encode(const RouteStatus& known) {
   Json note{{"apart", known.per_endpoint},
             {"route", known.route},
             {"told_left", known.retry_after_left},
@@ -37,8 +37,8 @@
   return note.dump();
 }
 
-// How long ago a note was made. The wall clock counts only where the machine was started anew since.
-Millis age_of(const Json& note) {
+// How long ago an entry was written. The wall clock is used only if the machine has been rebooted since.
+Millis age_of_entry(const Json& note) {
   auto start = note.at("machine_start").get<std::uint64_t>();
   bool same_start = start != 0 && start == Store::boot_id();
   Millis age = same_start ? EventLoop::monotonic_time() - note.at("monotonic").get<double>()
@@ -46,14 +46,14 @@
   return std::max(0.0, age);
 }
 
-// What a note tells, as of now.
-RouteStatus read_note(const std::string& text) {
+// The state in an entry, with its durations brought up to now.
+RouteStatus decode(const std::string& text) {
   Json note = Json::parse(text);
   RouteStatus known;
   known.from_this_relay = true;
   known.per_endpoint = note.at("apart").get<bool>();
   known.route = note.at("route").get<std::uint64_t>();
-  Millis ago = age_of(note);
+  Millis ago = age_of_entry(note);
   known.retry_after_left = std::max(0.0, note.at("told_left").get<double>() - ago);
   known.state = static_cast<RouteState>(note.at("state").get<int>());
   known.state_age = note.at("state_age").get<double>() + ago;
@@ -72,7 +72,7 @@
   for (const auto& [name, text] : store_.metadata()) {
     if (!name.starts_with(name_prefix)) continue;
     try {
-      decision_.apply_route_status(read_note(text));
+      decision_.apply_route_status(decode(text));
       ++told;
     } catch (const Json::exception& error) {
       log_line("event=route_note_unreadable note=%s reason=\"%s\"", name.c_str(), error.what());
@@ -86,8 +86,8 @@
 void RouteStateStore::save() {
   for (const auto& known : decision_.route_statuses_to_persist()) {
     bool binds = known.state != RouteState::healthy || known.retry_after_left > 0;
-    std::string name = note_name(known);
-    if (binds) store_.set_metadata(name, note_text(known));
+    std::string name = metadata_name(known);
+    if (binds) store_.set_metadata(name, encode(known));
     else if (store_.metadata().count(name)) store_.set_metadata(name, {});
   }
 }
--- a/src/relay/route_state_store.h
+++ b/src/relay/route_state_store.h
@@ -1,6 +1,6 @@
-// Keeps what the decision module knows of outages, cold returns, limits and told waits over a restart of the
-// process, as notes of the store. A killed process has messages from its store to send at once; without this
-// it would send them to a destination that is out, or has just returned, as if nothing had happened there.
+// Preserves what the decision module knows of outages, slow starts, limits and requested waits across a
+// restart of the process, as metadata in the store. After a kill the recovered documents are sent at once;
+// without this state they would go at full rate to a destination that is down or has just recovered.
 #pragma once
 
 #include "decision/decision.h"
@@ -12,8 +12,8 @@
  public:
   RouteStateStore(Store& store, Decision& decision) : store_(store), decision_(decision) {}
 
-  void restore();  // tells the module, within a turn, what the process before this one knew
-  void save();     // notes what has changed; it outlives the process once the store is flushed
+  void restore();  // passes the previous process's state to the decision module, within a turn
+  void save();     // queues what has changed; it is durable once the store is flushed
 
  private:
   Store& store_;
--- a/src/relay/store.h
+++ b/src/relay/store.h
@@ -1,6 +1,7 @@
-// Owns the documents that this relay holds, and the file that lets them outlive its process. A file belongs
-// to the process that has its lock, and to nobody else: one whose owner has ended is taken up by whoever
-// locks it first. It must never decide what becomes of a document, and never grow past the room it was given.
+// The documents that this relay holds and the journal file that preserves them across a kill or a restart. A
+// journal belongs to the process that holds its lock; one whose owner has ended is recovered by the first
+// process that locks it. The store doesn't decide what becomes of a document, and its files never exceed the
+// size limit it was given.
 #pragma once
 
 #include <cstddef>
@@ -25,23 +26,23 @@
   };
   std::string id, idempotency_key, body, order_key;
   std::string doc_type, tenant;  // by name: their numbers may change with the settings
-  DocType type;                  // as it was when the document was taken on, with the transmissions allowed
-  int max_transmissions = 0;     // 0: neither is known, as in a file of version 0.2.0
+  DocType type;                  // the document type when the document was accepted
+  int max_transmissions = 0;     // 0: neither it nor the type is known, as in a file of version 0.2.0
   DestinationId destination{};
   Millis expiry = 0;  // Unix time
   int transmissions = 0;
-  std::vector<Transmission> in_doubt;  // transmissions that may have run, or are out
-  bool ended = false;                  // rejected or abandoned, the notice not yet taken
+  std::vector<Transmission> in_doubt;  // transmissions that are under way or may have run
+  bool ended = false;                  // rejected or abandoned, and the notice is not acknowledged yet
   bool rejected = false;
   Millis reject_wait = 0;
-  std::string fleet_id;          // the fleet's name for it, opaque here; empty: none knows of it
-  std::size_t record_bytes = 0;  // of its records; counted from the moment it is held
-  bool journaled = false;        // its own record is written, or about to be
+  std::string fleet_id;          // the fleet's id of the document, opaque here; empty: not known to the fleet
+  std::size_t record_bytes = 0;  // size of its records, counted from the moment it is added
+  bool journaled = false;        // its document record is written, or queued for the next flush
 };
 
 class Store {
  public:
-  // A store as it goes to the process that takes this one's place: the file with its lock, and what it says.
+  // The store as handed over to a successor process: the locked file and its contents.
   struct HandoverState {
     std::string path, snapshot;
     int descriptor = -1;
@@ -49,48 +50,51 @@
     std::size_t file_bytes = 0;
     bool rewrite_needed = false;
   };
-  static bool has_owner(const std::string& folder);  // a living process, that is
+  static bool has_owner(const std::string& folder);  // by a running process
 
-  Store(std::string folder, std::size_t bytes_most);
-  Store(std::string folder, std::size_t bytes_most, const HandoverState& passed);
+  Store(std::string folder, std::size_t max_bytes);
+  Store(std::string folder, std::size_t max_bytes, const HandoverState& state);
   HandoverState handover_state() const;
-  // Told of each record of a document as it is noted, by its kind; F before the document goes.
+  // Called for each record of a document as it is queued, with the record's kind: D accepted, S transmission,
+  // N never ran, E ended, F removed. F is reported before the document is removed.
   std::function<void(char kind, DocId doc, int transmission)> on_record;
-  // Files of other processes that live: none; else adopt() takes up those whose owner has ended since, and
-  // says which documents came.
+  // Whether no other running process owns a journal in the folder. If one does, adopt_orphaned_files()
+  // recovers the journals whose owner has ended since and returns the documents found there.
   bool is_sole_process() const { return other_files_.empty(); }
-  bool has_recovered_file() const { return has_recovered_file_; }  // a process that has ended left a file
+  bool has_recovered_file() const {
+    return has_recovered_file_;
+  }  // a journal of a process that has ended was recovered
   std::vector<DocId> adopt_orphaned_files();
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
 
   std::map<DocId, StoredDocument>& documents() { return documents_; }
-  DocId add(StoredDocument document);  // held, but not yet written
+  DocId add(StoredDocument document);  // in memory only; record_accepted() queues its record
   bool contains(std::string_view id) const { return by_id_.count(id) > 0; }
   bool has_room(std::size_t bytes);  // for one more document of this size; may compact
   void record_accepted(DocId doc);
-  void record_transmission(DocId doc, int transmission, Millis at, ZoneId hall);
+  void record_transmission(DocId doc, int transmission, Millis sent_at, ZoneId zone);
   void record_never_ran(DocId doc, int transmission);
   void record_ended(DocId doc, bool rejected, Millis wait);
-  void remove(DocId doc);  // nothing more is owed
-  // Endpoints taken out by staff, by their names in the list. False: not noted, and nothing has changed.
-  bool set_offline(const std::string& endpoint, bool out);
+  void remove(DocId doc);  // the document is complete
+  // Endpoints that staff have taken offline, by their names in the list. False: it could not be written, and
+  // nothing has changed.
+  bool set_offline(const std::string& endpoint, bool offline);
   const std::set<std::string>& offline_endpoints() const { return offline_endpoints_; }
-  // What the fleet must find again after a restart, by names of its own; empty: nothing of that name.
+  // Named values kept across restarts for the fleet and the route state. An empty value removes the name.
   void set_metadata(const std::string& name, const std::string& text);
   const std::map<std::string, std::string>& metadata() const { return metadata_; }
-  void set_fleet_id(DocId doc, const std::string& deed);
-  // Tells this start of the machine from every other: since the same one, monotonic clocks of different
-  // processes go together. 0 where the system does not say.
+  void set_fleet_id(DocId doc, const std::string& fleet_id);
+  // Identifies the current boot of the machine: monotonic clocks of different processes are comparable within
+  // one boot. 0 if the system doesn't provide it.
   static std::uint64_t boot_id();
-  std::uint64_t last_doc_number() const {
-    return last_doc_number_;
-  }  // number given to a document, over all restarts
-  // A document as its record has it, for a relay that holds a copy; read throws where it is none.
+  // The highest number given to a document, over all restarts.
+  std::uint64_t last_doc_number() const { return last_doc_number_; }
+  // The record of a document, for a relay that keeps a copy. decode() throws if the record is invalid.
   static std::string encode(const StoredDocument& document);
   static StoredDocument decode(std::string_view record);
-  bool flush();  // what was noted outlives the process from here on; false: it may not
+  bool flush();  // writes what is queued; false: it may be lost if the process ends
 
  private:
   void record_clock();
@@ -100,34 +104,35 @@
   std::string snapshot() const;
   std::size_t max_file_bytes() const;
   bool compact();
-  bool write_failed(const char* step);  // notes why, from errno; false
-  void append_and_apply(char kind, DocId doc, std::string_view rest,
-                        int transmission = 0);  // notes and applies
-  void apply(char kind, DocId doc, std::string_view rest);
+  bool write_failed(const char* step);  // logs the reason from errno; returns false
+  void append_and_apply(char kind, DocId doc, std::string_view payload,
+                        int transmission = 0);  // queues the record and applies it
+  void apply(char kind, DocId doc, std::string_view payload);
 
   const std::string folder_;
   const std::size_t max_bytes_;
   std::map<DocId, StoredDocument> documents_;
-  std::unordered_map<std::string_view, DocId> by_id_;  // slices of the held ids
+  std::unordered_map<std::string_view, DocId> by_id_;  // views of the ids in documents_
   std::uint64_t last_doc_number_ = 0;
   std::string path_;
-  std::vector<std::string> other_files_;                      // files whose owner lives
-  std::vector<std::pair<std::string, int>> recovered_files_;  // files read, to go with the next compaction
-  // The wall clock, told by the one that nobody sets, and since which start of the machine that one runs:
-  // times of attempts are in its terms. 0: not known.
+  std::vector<std::string> other_files_;  // files owned by other running processes
+  std::vector<std::pair<std::string, int>>
+      recovered_files_;  // recovered files, deleted by the next compaction
+  // Wall clock minus monotonic clock, and the boot that this holds for. Times of transmissions are by this
+  // wall clock. 0: not known.
   Millis wall_offset_ = 0;
   std::uint64_t boot_id_ = 0;
-  bool clock_recorded_ = false;  // the file says so
+  bool clock_recorded_ = false;  // the file has a clock record with these values
   std::set<std::string> offline_endpoints_;
   std::map<std::string, std::string> metadata_;
   std::size_t metadata_bytes_ = 0;
   std::string pending_;
   int fd_ = -1;
   bool has_recovered_file_ = false;
-  bool rewrite_needed_ = false;  // a write failed: the file must be written anew before it is added to
-  int write_error_ = 0;          // why the file could not be written anew the last time
+  bool rewrite_needed_ = false;  // a write failed: the file must be rewritten before anything is appended
+  int write_error_ = 0;          // errno of the last failed rewrite
   int write_failures_ = 0;       // in a row
-  Millis retry_write_at_ = 0;    // by the clock that nobody sets; from the second failure on
+  Millis retry_write_at_ = 0;    // monotonic; applies from the second failure on
   std::size_t file_bytes_ = 0, live_bytes_ = 0;
 };
 
--- a/tests/crossings/calls_test.cpp
+++ b/tests/crossings/calls_test.cpp
@@ -1,6 +1,6 @@
-// Calls to endpoints in the moments in which two events cross. The calls run on real loopback connections and
-// on the relay's own loop; the endpoint is played from that loop's timers, so that a test says exactly when
-// it acts: also after poll() has returned and before the relay's own timer of the same round.
+// Calls to endpoints when two events race. The calls use real loopback connections and the relay's event
+// loop. The endpoint is scripted from timers of the same loop, so a test decides exactly when it acts, even
+// between the return of poll() and the relay's own timer of that round.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -23,14 +23,14 @@
 namespace {
 
 constexpr EndpointId endpoint{1};
-constexpr Millis look_every = 1;        // for what the other side has done
-constexpr Millis give_up_after = 3000;  // a condition that never comes true fails the test
-constexpr int small_buffer = 4096;      // bytes that an endpoint takes without reading
+constexpr Millis poll_interval = 1;    // for what the other side has done
+constexpr Millis wait_timeout = 3000;  // a condition that doesn't hold by then fails the test
+constexpr int small_buffer = 4096;     // bytes that an endpoint receives without reading
 
-// An endpoint that does only what its test tells it.
-class PlayedEndpoint {
+// An endpoint that does only what its test tells it to.
+class ScriptedEndpoint {
  public:
-  explicit PlayedEndpoint(int receive_buffer = 0) {
+  explicit ScriptedEndpoint(int receive_buffer = 0) {
     listener_ = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
     if (receive_buffer > 0)
       setsockopt(listener_, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
@@ -43,13 +43,13 @@
     getsockname(listener_, reinterpret_cast<sockaddr*>(&at), &size);
     address = {"127.0.0.1", ntohs(at.sin_port)};
   }
-  ~PlayedEndpoint() {
+  ~ScriptedEndpoint() {
     for (int fd : connections_)
       if (fd >= 0) close(fd);
     if (listener_ >= 0) close(listener_);
   }
-  PlayedEndpoint(const PlayedEndpoint&) = delete;
-  PlayedEndpoint& operator=(const PlayedEndpoint&) = delete;
+  ScriptedEndpoint(const ScriptedEndpoint&) = delete;
+  ScriptedEndpoint& operator=(const ScriptedEndpoint&) = delete;
 
   void stop_listening() { close(std::exchange(listener_, -1)); }
 
@@ -60,23 +60,24 @@
     }
     return connections_.size();
   }
-  // All that has been written on a connection, numbered from 0 in the order in which they came up.
+  // All that has been written on a connection. Connections are numbered from 0 in the order in which they
+  // were accepted.
   const std::string& request(std::size_t number) {
-    if (number >= connections()) return none_;
+    if (number >= connections()) return no_request_;
     char piece[65536];
     ssize_t count = 0;
     while ((count = recv(connections_[number], piece, sizeof piece, MSG_DONTWAIT)) > 0)
       read_[number].append(piece, static_cast<std::size_t>(count));
     return read_[number];
   }
-  // Whether so many whole requests have come on a connection.
+  // Whether so many complete requests have arrived on a connection.
   bool has_request(std::size_t number, std::size_t count = 1) {
     const std::string& text = request(number);
     std::size_t at = 0;
     for (std::size_t found = 0; found < count; ++found) {
-      const auto head = text.find("\r\n\r\n", at), length = text.find(length_header, at);
+      const auto head = text.find("\r\n\r\n", at), length = text.find(length_header_, at);
       if (head == std::string::npos) return false;
-      at = head + 4 + std::stoul(text.substr(length + length_header.size()));
+      at = head + 4 + std::stoul(text.substr(length + length_header_.size()));
     }
     return text.size() >= at;
   }
@@ -106,27 +107,27 @@
   int listener_ = -1;
   std::vector<int> connections_;
   std::vector<std::string> read_;
-  const std::string none_;
-  const std::string length_header = "Content-Length: ";
+  const std::string no_request_;
+  const std::string length_header_ = "Content-Length: ";
 };
 
 const std::string answered = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 class Calls : public testing::Test {
  protected:
-  explicit Calls(int receive_buffer = 0) : played_(receive_buffer), endpoints_(loop_, {1500, 10000, 50}) {
-    endpoints_.set_address(endpoint, played_.address);
+  explicit Calls(int receive_buffer = 0) : server_(receive_buffer), endpoints_(loop_, {1500, 10000, 50}) {
+    endpoints_.set_address(endpoint, server_.address);
     endpoints_.max_idle_time = 1e9;
     endpoints_.on_outcome = [this](const Outcome& outcome) { outcomes_.push_back(outcome); };
     endpoints_.on_connecting = [](DocId, int) {};
     endpoints_.before_write = [](EndpointId, const std::vector<Endpoints::InFlightTransmission>&) {
       return true;
     };
-    endpoints_.may_begin = [this](DocId, int) { return ++asked_, may_begin_; };
-    endpoints_.is_finished = [this](DocId doc) { return over_.count(doc) > 0; };
+    endpoints_.may_begin = [this](DocId, int) { return ++may_begin_calls_, may_begin_; };
+    endpoints_.is_finished = [this](DocId doc) { return finished_.count(doc) > 0; };
   }
 
-  // Messages by their numbers, with their time-outs; several go in one call.
+  // Documents by their numbers, with their timeouts; all go in one call.
   void call(const std::vector<std::pair<int, Millis>>& messages, const std::string& body = "hello") {
     std::vector<OutboundTransmission> parcels;
     for (auto [number, time_out] : messages)
@@ -134,24 +135,24 @@
     endpoints_.call(endpoint, parcels);
   }
 
-  // Goes on until the condition holds.
+  // Runs the loop until the condition holds.
   void run_until(const std::function<bool()>& holds) {
-    const Millis end = EventLoop::monotonic_time() + give_up_after;
+    const Millis end = EventLoop::monotonic_time() + wait_timeout;
     bool held = false;
     std::unique_ptr<Timer> look;
     look = std::make_unique<Timer>(loop_, [&] {
       held = holds();
       if (held || EventLoop::monotonic_time() > end) return loop_.stop();
-      look->set(loop_.now() + look_every);
+      look->set(loop_.now() + poll_interval);
     });
     look->set(loop_.now());
     loop_.run();
     EXPECT_TRUE(held) << "what the test waits for did not come";
   }
 
-  // Has the act done in the round in which this moment's timers are due, after that round's poll() and before
-  // the timers: the loop is kept busy until the moment is past, so that one round finds the act and the
-  // timers due.
+  // Runs the action in the round in which the timers of this moment are due, after that round's poll() and
+  // before those timers. The loop is kept busy until the moment has passed, so that the action and the timers
+  // are due in one round.
   void run_past(Millis moment, const std::function<void()>& act) {
     Timer busy(loop_, [&] {
       while (EventLoop::monotonic_time() < moment + 5) {}
@@ -165,13 +166,13 @@
   }
 
   void wait_for_request(std::size_t connection) {
-    run_until([&] { return played_.has_request(connection); });
+    run_until([&] { return server_.has_request(connection); });
   }
-  // A connection that has had a call and lies idle.
+  // Leaves one connection idle after a call.
   void leave_one_idle() {
     call({{1, 1000}});
     wait_for_request(0);
-    played_.answer(0, answered);
+    server_.answer(0, answered);
     run_until([&] { return outcomes_.size() == 1 && endpoints_.no_calls_in_flight(); });
     outcomes_.clear();
   }
@@ -183,15 +184,15 @@
 
   const std::vector<std::string> ids_{"id0", "id1", "id2", "id3"};
   EventLoop loop_;
-  PlayedEndpoint played_;
+  ScriptedEndpoint server_;
   Endpoints endpoints_;
   SendPermission may_begin_ = SendPermission::now;
-  int asked_ = 0;  // whether a call may begin
-  std::set<DocId> over_;
+  int may_begin_calls_ = 0;  // how often may_begin was called
+  std::set<DocId> finished_;
   std::vector<Outcome> outcomes_;
 };
 
-// Takes no more than a few kilobytes of a request.
+// The endpoint receives no more than a few kilobytes of a request.
 class SlowlyRead : public Calls {
  protected:
   SlowlyRead() : Calls(small_buffer) {}
@@ -203,14 +204,15 @@
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// An answer that came after poll() returned and before the call's time-out, in one round, counts.
+// An answer that arrives after poll() returned and before the call's timeout is handled, in one round,
+// counts.
 TEST_F(Calls, AnswerInTheRoundOfItsTimeOut) {
   call({{1, 100}});
   const Millis time_out = loop_.now() + 100;
   wait_for_request(0);
-  run_past(time_out, [&] { played_.answer(0, answered); });
+  run_past(time_out, [&] { server_.answer(0, answered); });
   EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
-  EXPECT_FALSE(played_.is_ended(0));
+  EXPECT_FALSE(server_.is_ended(0));
 }
 
 TEST_F(Calls, AnswerInTheRoundOfItsTimeOutForEachOfABundle) {
@@ -218,34 +220,35 @@
   const Millis time_out = loop_.now() + 100;
   wait_for_request(0);
   run_past(time_out, [&] {
-    played_.answer(0, answer_of(R"([{"id":"id1","state":"later"},{"id":"id2","state":"ok"}])"));
+    server_.answer(0, answer_of(R"([{"id":"id1","state":"later"},{"id":"id2","state":"ok"}])"));
   });
   EXPECT_EQ(endings(), (Endings{TransmissionResult::refused, TransmissionResult::answered}));
 }
 
-// Half an answer is none: the call is given up as late.
+// A partial answer doesn't count: the call times out.
 TEST_F(Calls, HalfAnAnswerInTheRoundOfItsTimeOut) {
   call({{1, 100}, {2, 1000}});
   const Millis time_out = loop_.now() + 100;
   wait_for_request(0);
-  run_past(time_out, [&] { played_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n[{"); });
+  run_past(time_out, [&] { server_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n[{"); });
   EXPECT_EQ(endings(), (Endings{TransmissionResult::timed_out, TransmissionResult::timed_out}));
-  EXPECT_TRUE(played_.is_ended(0));
+  EXPECT_TRUE(server_.is_ended(0));
 }
 
-// A reset that came in the round of the time-out is one that came after the last byte.
+// A reset in the round of the timeout came after the last byte of the request, so the call is reported as
+// broken.
 TEST_F(Calls, ResetInTheRoundOfItsTimeOut) {
   call({{1, 100}});
   const Millis time_out = loop_.now() + 100;
   wait_for_request(0);
-  run_past(time_out, [&] { played_.reset(0); });
+  run_past(time_out, [&] { server_.reset(0); });
   EXPECT_EQ(endings(), Endings{TransmissionResult::connection_lost});
 }
 
 TEST_F(Calls, AnswerInTheRoundOfItsCallOff) {
   call({{1, 1000}});
   wait_for_request(0);
-  played_.answer(0, answered);
+  server_.answer(0, answered);
   endpoints_.cancel(DocId(1), 0);
   EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
 }
@@ -255,11 +258,11 @@
   wait_for_request(0);
   endpoints_.cancel(DocId(1), 0);
   EXPECT_EQ(endings(), (Endings{TransmissionResult::canceled, TransmissionResult::canceled}));
-  EXPECT_TRUE(played_.is_ended(0));
+  EXPECT_TRUE(server_.is_ended(0));
   EXPECT_TRUE(endpoints_.no_calls_in_flight());
 }
 
-// A bundle is given up whole at the shortest time in it, and only then.
+// A batch is aborted as a whole at the shortest timeout in it, and not before.
 TEST_F(Calls, ABundleEndsWithItsShortestTime) {
   const Millis begun = loop_.now();
   call({{1, 1000}, {2, 150}, {3, 1000}});
@@ -268,11 +271,12 @@
   EXPECT_EQ(endings(), Endings(3, TransmissionResult::timed_out));
   EXPECT_GE(loop_.now(), begun + 150);
   EXPECT_LT(loop_.now(), begun + 1000);
-  EXPECT_TRUE(played_.is_ended(0));
-  EXPECT_NE(played_.request(0).find("Request-Timeout: 0.150"), std::string::npos);
+  EXPECT_TRUE(server_.is_ended(0));
+  EXPECT_NE(server_.request(0).find("Request-Timeout: 0.150"), std::string::npos);
 }
 
-// So is one that waits for a slot: no request written later has the message whose time was up.
+// The same holds for a batch that waits for a slot: no request written later contains the document whose time
+// was up.
 TEST_F(Calls, ABundleToldToBeginLaterEndsWithItsShortestTime) {
   may_begin_ = SendPermission::later;
   call({{1, 1000}, {2, 100}});
@@ -280,98 +284,98 @@
   EXPECT_EQ(endings(), Endings(2, TransmissionResult::not_sent));
   may_begin_ = SendPermission::now;
   endpoints_.resume_deferred();
-  EXPECT_EQ(played_.request(0), "");
-  EXPECT_TRUE(played_.is_ended(0));
+  EXPECT_EQ(server_.request(0), "");
+  EXPECT_TRUE(server_.is_ended(0));
 }
 
-// A connection that has come up in the round in which its call's time is over is not written on.
+// Nothing is written on a connection that is established in the round in which its call's timeout is due.
 TEST_F(Calls, ConnectionUpInTheRoundOfItsTimeOut) {
   call({{1, 1}, {2, 1000}});
   while (EventLoop::monotonic_time() < loop_.now() + 10) {}
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings(2, TransmissionResult::not_connected));
-  EXPECT_EQ(played_.request(0), "");
-  EXPECT_TRUE(played_.is_ended(0));
+  EXPECT_EQ(server_.request(0), "");
+  EXPECT_TRUE(server_.is_ended(0));
 }
 
-// Nor is one on which a message would go that has ended meanwhile, first or not; the others are free to go
-// again.
+// Nor if a document of the call has ended meanwhile, whether it is the first one or not; the others may be
+// sent again.
 TEST_F(Calls, ConnectionUpAfterOneOfItsMessagesHasEnded) {
   call({{1, 1000}, {2, 1000}});
-  over_.insert(DocId(2));
+  finished_.insert(DocId(2));
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings(2, TransmissionResult::not_sent));
-  EXPECT_EQ(played_.request(0), "");
+  EXPECT_EQ(server_.request(0), "");
 }
 
-// So it is with a call that was told to begin later.
+// The same for a call that was told to begin later.
 TEST_F(Calls, CallToldToBeginLaterAfterOneOfItsMessagesHasEnded) {
   may_begin_ = SendPermission::later;
   call({{1, 1000}, {2, 1000}});
-  run_until([&] { return asked_ > 0; });
+  run_until([&] { return may_begin_calls_ > 0; });
   EXPECT_TRUE(outcomes_.empty());
   may_begin_ = SendPermission::now;
-  over_.insert(DocId(2));
+  finished_.insert(DocId(2));
   endpoints_.resume_deferred();
   EXPECT_EQ(endings(), Endings(2, TransmissionResult::not_sent));
-  EXPECT_EQ(played_.request(0), "");
+  EXPECT_EQ(server_.request(0), "");
 }
 
-// A told wait that begins while the connection comes up keeps the call back.
+// A wait requested while the connection is being established prevents the call.
 TEST_F(Calls, ToldWaitWhileTheConnectionComesUp) {
   call({{1, 1000}, {2, 1000}});
   may_begin_ = SendPermission::never;
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings(2, TransmissionResult::not_sent));
-  EXPECT_EQ(played_.request(0), "");
+  EXPECT_EQ(server_.request(0), "");
 }
 
-// Bytes, or an end, on an idle connection just before its next use, not seen by the loop yet.
+// Bytes or a reset on an idle connection just before its next use, not yet seen by the loop.
 TEST_F(Calls, BytesOnAnIdleConnectionBeforeItsUse) {
   leave_one_idle();
-  played_.answer(0, "HTTP/1.1 2");
+  server_.answer(0, "HTTP/1.1 2");
   call({{2, 1000}});
   wait_for_request(1);
-  played_.answer(1, answered);
+  server_.answer(1, answered);
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
-  EXPECT_FALSE(played_.has_request(0, 2));
+  EXPECT_FALSE(server_.has_request(0, 2));
 }
 
 TEST_F(Calls, ResetOfAnIdleConnectionBeforeItsUse) {
   leave_one_idle();
-  played_.reset(0);
+  server_.reset(0);
   call({{2, 1000}});
   wait_for_request(1);
-  played_.answer(1, answered);
+  server_.answer(1, answered);
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
 }
 
-// The same after its use: what was sent may have run.
+// A reset right after the request was written: the documents may have run.
 TEST_F(Calls, ResetOfAnIdleConnectionRightAfterItsUse) {
   leave_one_idle();
   call({{2, 1000}, {3, 1000}});
-  played_.reset(0);
+  server_.reset(0);
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings(2, TransmissionResult::connection_lost));
   EXPECT_GT(outcomes_[0].connection_idle_time, 0);
 }
 
-// Before a request: nobody listens.
+// Before a request: nothing listens on the port.
 TEST_F(Calls, RefusedConnection) {
-  played_.stop_listening();
+  server_.stop_listening();
   call({{1, 1000}, {2, 1000}});
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings(2, TransmissionResult::not_connected));
 }
 
-// Within a request: its last byte is not written yet, so neither it nor any message in it has run.
+// Within a request: its last byte is not written yet, so none of its documents has run.
 TEST_F(SlowlyRead, ResetWithinARequest) {
-  // More than any socket's buffer takes, however the system grows them.
+  // More than the socket buffers hold even when the system grows them.
   call({{1, 1000}, {2, 1000}, {3, 1000}}, std::string(8 << 20, 'x'));
-  run_until([&] { return played_.has_unread_bytes(0); });
-  played_.reset(0);
+  run_until([&] { return server_.has_unread_bytes(0); });
+  server_.reset(0);
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings(3, TransmissionResult::not_connected));
 }
@@ -383,38 +387,39 @@
   const Millis later = loop_.now() + 200;
   run_until([&] { return loop_.now() >= later; });
   EXPECT_TRUE(outcomes_.empty());
-  played_.reset(0);
+  server_.reset(0);
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings(2, TransmissionResult::connection_lost));
 }
 
-// An answer that never ends: a single 200 is true at once and the connection goes after a while; a bundle's
-// tells nothing until its time is up.
+// An answer that never ends: for a single document a 200 counts at once and the connection is closed later;
+// for a batch it doesn't count, and the call times out.
 TEST_F(Calls, AnswerThatNeverEnds) {
   call({{1, 1000}});
   wait_for_request(0);
-  played_.answer(0, "HTTP/1.1 200 OK\r\nX-Noise: ");
+  server_.answer(0, "HTTP/1.1 200 OK\r\nX-Noise: ");
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
-  EXPECT_FALSE(played_.is_ended(0));
-  run_until([&] { return played_.is_ended(0); });
+  EXPECT_FALSE(server_.is_ended(0));
+  run_until([&] { return server_.is_ended(0); });
   EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
 }
 
 TEST_F(Calls, AnswerToABundleThatNeverEnds) {
   call({{1, 200}, {2, 1000}});
   wait_for_request(0);
-  played_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{\"id\":\"id1\",\"state\":\"ok\"}");
+  server_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{\"id\":\"id1\",\"state\":\"ok\"}");
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings(2, TransmissionResult::timed_out));
 }
 
-// A broken answer, or an end within one: a bundle learns nothing of it, whatever its first line says.
+// A malformed answer, or a connection that ends within one: for a batch it doesn't count, whatever its status
+// line says.
 TEST_F(Calls, EndWithinAnAnswer) {
   call({{1, 1000}});
   wait_for_request(0);
-  played_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n");
-  played_.reset(0);
+  server_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n");
+  server_.reset(0);
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
 }
@@ -422,8 +427,8 @@
 TEST_F(Calls, EndWithinAnAnswerToABundle) {
   call({{1, 1000}, {2, 1000}});
   wait_for_request(0);
-  played_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{\"id\":\"id1\",\"state\":\"ok\"}");
-  played_.finish(0);
+  server_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{\"id\":\"id1\",\"state\":\"ok\"}");
+  server_.finish(0);
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings(2, TransmissionResult::connection_lost));
 }
@@ -431,22 +436,22 @@
 TEST_F(Calls, UnreadableAnswerToABundle) {
   call({{1, 1000}, {2, 1000}});
   wait_for_request(0);
-  played_.answer(0, answer_of(R"([{"id":"id1","state":"ok"},{"id":"id2")"));
+  server_.answer(0, answer_of(R"([{"id":"id1","state":"ok"},{"id":"id2")"));
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings(2, TransmissionResult::error));
 }
 
-// The endpoint has moved while a call was out: its connection leads to where it was, and is not used again.
+// The endpoint's address changed during a call: the connection to the old address is not reused.
 TEST_F(Calls, MovedWhileACallWasOut) {
   call({{1, 1000}});
   wait_for_request(0);
-  PlayedEndpoint moved;
+  ScriptedEndpoint moved;
   endpoints_.set_address(endpoint, moved.address);
-  played_.answer(0, answered);
+  server_.answer(0, answered);
   run_until([&] { return !outcomes_.empty(); });
   EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
   call({{2, 1000}});
-  run_until([&] { return moved.has_request(0) || played_.has_request(0, 2); });
+  run_until([&] { return moved.has_request(0) || server_.has_request(0, 2); });
   EXPECT_TRUE(moved.has_request(0));
 }
 
--- a/tests/crossings/stream_test.cpp
+++ b/tests/crossings/stream_test.cpp
@@ -1,5 +1,5 @@
-// Streams on loopback: that no last small write is held back by the system, however its connection came
-// about.
+// Streams on loopback: TCP_NODELAY is set on every connection, whether it was dialled, accepted or passed, so
+// that Nagle's algorithm doesn't delay a small last write.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -40,11 +40,11 @@
   Stream dialled(loop, listening.address);
   int accepted_fd = accept4(listening.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   ASSERT_GE(accepted_fd, 0);
-  EXPECT_FALSE(sends_at_once(accepted_fd));  // the system's default: it is the stream that asks for it
+  EXPECT_FALSE(sends_at_once(accepted_fd));  // the system's default; Stream sets it
   Stream accepted(loop, accepted_fd);
   EXPECT_TRUE(sends_at_once(dialled.snapshot().fd));
   EXPECT_TRUE(sends_at_once(accepted.snapshot().fd));
-  // As passed to another process: another descriptor of the same connection.
+  // As when passed to another process: a second descriptor of the same connection.
   Stream::Snapshot kept = accepted.snapshot();
   kept.fd = fcntl(kept.fd, F_DUPFD_CLOEXEC, 3);
   ASSERT_GE(kept.fd, 0);
