--- a/src/relay/clients.cpp
+++ b/src/relay/clients.cpp
@@ -143,7 +143,7 @@
   }
 
   // Closes clients that stay silent, send half a command, do not read, or don't close a connection that was
-  // closed here: each would hold its descriptor for good. A client with pending replies is snapshot.
+  // closed here: each would hold its descriptor for good. A client with pending replies is kept.
   void on_timeout() {
     if (replies_.empty() && (closing_ || stream_.unsent_bytes() > 0)) {
       if (stream_.unsent_bytes() > 0) record_close(CloseReason::not_reading);
--- a/src/relay/endpoints.cpp
+++ b/src/relay/endpoints.cpp
@@ -46,8 +46,8 @@
   return head + body;
 }
 
-constexpr Millis drain_timeout =
-    500;  // for the rest of an answer whose status connection has decided the outcome
+// For the rest of an answer whose status line has decided the outcome.
+constexpr Millis drain_timeout = 500;
 
 struct CallResult {
   TransmissionResult result = TransmissionResult::error;
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -25,7 +25,7 @@
 constexpr Millis final_reply_time = 300;
 constexpr Millis metrics_interval = 10000;
 constexpr Millis orphan_poll_interval = 50;  // for the end of a process that still owns its file
-constexpr int handover_format = 1;           // incremented with every change of what export_state() returns
+constexpr int handover_format = 1;  // incremented with every change of what make_handover_payload() returns
 
 using Json = nlohmann::json;
 
@@ -125,15 +125,16 @@
 }
 
 void Relay::start_fleet() {
-  around_.emplace(peer::Around{
-      loop_, *decision_, store_, endpoints_, config_, known_endpoints_, [this] { begin_turn(); },
-      [this] { return turn_began_; }, [this](DocId doc) { begin_turn(), resume_document(doc); },
-      [this](DocId doc) { release(doc); }, [this](DocId doc, bool taken) { answer_pending(doc, taken); },
-      [this](const std::string& endpoint, bool out) {
-        if (!store_.set_offline(endpoint, out)) return;
-        begin_turn();
-        decision_->set_offline(EndpointId(fnv1a_hash(endpoint)), out);
-      }});
+  around_.emplace(peer::Around{loop_, *decision_, store_, endpoints_, config_, known_endpoints_,
+                               [this] { begin_turn(); }, [this] { return turn_began_; },
+                               [this](DocId doc) { begin_turn(), resume_document(doc); },
+                               [this](DocId doc) { release(doc); },
+                               [this](DocId doc, bool accepted) { answer_pending(doc, accepted); },
+                               [this](const std::string& endpoint, bool out) {
+                                 if (!store_.set_offline(endpoint, out)) return;
+                                 begin_turn();
+                                 decision_->set_offline(EndpointId(fnv1a_hash(endpoint)), out);
+                               }});
   fleet_ = std::make_unique<peer::Fleet>(*around_, *fleet_config_, config_.state_folder, config_.seed);
   store_.on_record = [this](char kind, DocId doc, int transmission) {
     fleet_->noted(kind, doc, transmission);
--- a/src/relay/store.cpp
+++ b/src/relay/store.cpp
@@ -102,9 +102,9 @@
     return value;
   }
   StoredDocument::Transmission transmission() {
-    auto transmission = number<std::int32_t>();
-    auto at = number<double>();
-    return {transmission, at, ZoneId(number<std::uint32_t>())};
+    auto sent_number = number<std::int32_t>();
+    auto sent_at = number<double>();
+    return {sent_number, sent_at, ZoneId(number<std::uint32_t>())};
   }
   DocType type() {
     DocType type;
@@ -312,8 +312,8 @@
     else if (fd >= 0) recover_file(path, fd);
   }
   other_files_ = std::move(still_owned);
-  offline_endpoints_ =
-      std::move(offline);  // read at the start already; changes since then are known to this process only
+  // Read at the start already; changes since then are known to this process only.
+  offline_endpoints_ = std::move(offline);
   for (auto found = documents_.upper_bound(DocId(last_before)); found != documents_.end();) {
     auto at = found++;
     // Both files may have the document if a process was killed between renaming the compacted file and
--- a/tests/crossings/calls_test.cpp
+++ b/tests/crossings/calls_test.cpp
@@ -64,10 +64,10 @@
   // were accepted.
   const std::string& request(std::size_t number) {
     if (number >= connections()) return no_request_;
-    char piece[65536];
+    char chunk[65536];
     ssize_t count = 0;
-    while ((count = recv(connections_[number], piece, sizeof piece, MSG_DONTWAIT)) > 0)
-      read_[number].append(piece, static_cast<std::size_t>(count));
+    while ((count = recv(connections_[number], chunk, sizeof chunk, MSG_DONTWAIT)) > 0)
+      read_[number].append(chunk, static_cast<std::size_t>(count));
     return read_[number];
   }
   // Whether so many complete requests have arrived on a connection.
@@ -96,8 +96,8 @@
   }
   void finish(std::size_t number) { shutdown(connections_.at(number), SHUT_WR); }
   void reset(std::size_t number) {
-    linger hard{1, 0};
-    setsockopt(connections_.at(number), SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+    linger reset_on_close{1, 0};
+    setsockopt(connections_.at(number), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     close(std::exchange(connections_.at(number), -1));
   }
 
@@ -128,39 +128,40 @@
   }
 
   // Documents by their numbers, with their timeouts; all go in one call.
-  void call(const std::vector<std::pair<int, Millis>>& messages, const std::string& body = "hello") {
-    std::vector<OutboundTransmission> parcels;
-    for (auto [number, time_out] : messages)
-      parcels.push_back({DocId(number), 0, time_out, ids_.at(static_cast<std::size_t>(number)), "", body});
-    endpoints_.call(endpoint, parcels);
+  void call(const std::vector<std::pair<int, Millis>>& documents, const std::string& body = "hello") {
+    std::vector<OutboundTransmission> transmissions;
+    for (auto [number, timeout] : documents)
+      transmissions.push_back(
+          {DocId(number), 0, timeout, ids_.at(static_cast<std::size_t>(number)), "", body});
+    endpoints_.call(endpoint, transmissions);
   }
 
   // Runs the loop until the condition holds.
-  void run_until(const std::function<bool()>& holds) {
+  void run_until(const std::function<bool()>& condition) {
     const Millis end = EventLoop::monotonic_time() + wait_timeout;
-    bool held = false;
-    std::unique_ptr<Timer> look;
-    look = std::make_unique<Timer>(loop_, [&] {
-      held = holds();
-      if (held || EventLoop::monotonic_time() > end) return loop_.stop();
-      look->set(loop_.now() + poll_interval);
+    bool met = false;
+    std::unique_ptr<Timer> poll_timer;
+    poll_timer = std::make_unique<Timer>(loop_, [&] {
+      met = condition();
+      if (met || EventLoop::monotonic_time() > end) return loop_.stop();
+      poll_timer->set(loop_.now() + poll_interval);
     });
-    look->set(loop_.now());
+    poll_timer->set(loop_.now());
     loop_.run();
-    EXPECT_TRUE(held) << "what the test waits for did not come";
+    EXPECT_TRUE(met) << "the awaited condition did not hold in time";
   }
 
   // Runs the action in the round in which the timers of this moment are due, after that round's poll() and
   // before those timers. The loop is kept busy until the moment has passed, so that the action and the timers
   // are due in one round.
-  void run_past(Millis moment, const std::function<void()>& act) {
+  void run_past(Millis moment, const std::function<void()>& action) {
     Timer busy(loop_, [&] {
       while (EventLoop::monotonic_time() < moment + 5) {}
     });
-    Timer first(loop_, act);
+    Timer action_timer(loop_, action);
     Timer end(loop_, [&] { loop_.stop(); });
     busy.set(moment - 5);
-    first.set(moment - 1);
+    action_timer.set(moment - 1);
     end.set(moment + 1);
     loop_.run();
   }
@@ -193,9 +194,9 @@
 };
 
 // The endpoint receives no more than a few kilobytes of a request.
-class SlowlyRead : public Calls {
+class SlowReader : public Calls {
  protected:
-  SlowlyRead() : Calls(small_buffer) {}
+  SlowReader() : Calls(small_buffer) {}
 };
 
 using Endings = std::vector<TransmissionResult>;
@@ -206,42 +207,42 @@
 
 // An answer that arrives after poll() returned and before the call's timeout is handled, in one round,
 // counts.
-TEST_F(Calls, AnswerInTheRoundOfItsTimeOut) {
+TEST_F(Calls, AnswerInTheRoundOfItsTimeout) {
   call({{1, 100}});
-  const Millis time_out = loop_.now() + 100;
+  const Millis timeout = loop_.now() + 100;
   wait_for_request(0);
-  run_past(time_out, [&] { server_.answer(0, answered); });
+  run_past(timeout, [&] { server_.answer(0, answered); });
   EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
   EXPECT_FALSE(server_.is_ended(0));
 }
 
-TEST_F(Calls, AnswerInTheRoundOfItsTimeOutForEachOfABundle) {
+TEST_F(Calls, AnswerToABatchInTheRoundOfItsTimeout) {
   call({{1, 100}, {2, 1000}});
-  const Millis time_out = loop_.now() + 100;
+  const Millis timeout = loop_.now() + 100;
   wait_for_request(0);
-  run_past(time_out, [&] {
+  run_past(timeout, [&] {
     server_.answer(0, answer_of(R"([{"id":"id1","state":"later"},{"id":"id2","state":"ok"}])"));
   });
   EXPECT_EQ(endings(), (Endings{TransmissionResult::refused, TransmissionResult::answered}));
 }
 
 // A partial answer doesn't count: the call times out.
-TEST_F(Calls, HalfAnAnswerInTheRoundOfItsTimeOut) {
+TEST_F(Calls, PartialAnswerInTheRoundOfItsTimeout) {
   call({{1, 100}, {2, 1000}});
-  const Millis time_out = loop_.now() + 100;
+  const Millis timeout = loop_.now() + 100;
   wait_for_request(0);
-  run_past(time_out, [&] { server_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n[{"); });
+  run_past(timeout, [&] { server_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n[{"); });
   EXPECT_EQ(endings(), (Endings{TransmissionResult::timed_out, TransmissionResult::timed_out}));
   EXPECT_TRUE(server_.is_ended(0));
 }
 
 // A reset in the round of the timeout came after the last byte of the request, so the call is reported as
 // broken.
-TEST_F(Calls, ResetInTheRoundOfItsTimeOut) {
+TEST_F(Calls, ResetInTheRoundOfItsTimeout) {
   call({{1, 100}});
-  const Millis time_out = loop_.now() + 100;
+  const Millis timeout = loop_.now() + 100;
   wait_for_request(0);
-  run_past(time_out, [&] { server_.reset(0); });
+  run_past(timeout, [&] { server_.reset(0); });
   EXPECT_EQ(endings(), Endings{TransmissionResult::connection_lost});
 }
 
@@ -263,7 +264,7 @@
 }
 
 // A batch is aborted as a whole at the shortest timeout in it, and not before.
-TEST_F(Calls, ABundleEndsWithItsShortestTime) {
+TEST_F(Calls, BatchEndsWithItsShortestTimeout) {
   const Millis begun = loop_.now();
   call({{1, 1000}, {2, 150}, {3, 1000}});
   wait_for_request(0);
@@ -277,7 +278,7 @@
 
 // The same holds for a batch that waits for a slot: no request written later contains the document whose time
 // was up.
-TEST_F(Calls, ABundleToldToBeginLaterEndsWithItsShortestTime) {
+TEST_F(Calls, DeferredBatchEndsWithItsShortestTimeout) {
   may_begin_ = SendPermission::later;
   call({{1, 1000}, {2, 100}});
   run_until([&] { return !outcomes_.empty(); });
@@ -289,7 +290,7 @@
 }
 
 // Nothing is written on a connection that is established in the round in which its call's timeout is due.
-TEST_F(Calls, ConnectionUpInTheRoundOfItsTimeOut) {
+TEST_F(Calls, ConnectedInTheRoundOfItsTimeout) {
   call({{1, 1}, {2, 1000}});
   while (EventLoop::monotonic_time() < loop_.now() + 10) {}
   run_until([&] { return !outcomes_.empty(); });
@@ -300,7 +301,7 @@
 
 // Nor if a document of the call has ended meanwhile, whether it is the first one or not; the others may be
 // sent again.
-TEST_F(Calls, ConnectionUpAfterOneOfItsMessagesHasEnded) {
+TEST_F(Calls, ConnectedAfterOneOfItsDocumentsEnded) {
   call({{1, 1000}, {2, 1000}});
   finished_.insert(DocId(2));
   run_until([&] { return !outcomes_.empty(); });
@@ -309,7 +310,7 @@
 }
 
 // The same for a call that was told to begin later.
-TEST_F(Calls, CallToldToBeginLaterAfterOneOfItsMessagesHasEnded) {
+TEST_F(Calls, DeferredCallAfterOneOfItsDocumentsEnded) {
   may_begin_ = SendPermission::later;
   call({{1, 1000}, {2, 1000}});
   run_until([&] { return may_begin_calls_ > 0; });
@@ -322,7 +323,7 @@
 }
 
 // A wait requested while the connection is being established prevents the call.
-TEST_F(Calls, ToldWaitWhileTheConnectionComesUp) {
+TEST_F(Calls, RequestedWaitWhileConnecting) {
   call({{1, 1000}, {2, 1000}});
   may_begin_ = SendPermission::never;
   run_until([&] { return !outcomes_.empty(); });
@@ -371,7 +372,7 @@
 }
 
 // Within a request: its last byte is not written yet, so none of its documents has run.
-TEST_F(SlowlyRead, ResetWithinARequest) {
+TEST_F(SlowReader, ResetWithinARequest) {
   // More than the socket buffers hold even when the system grows them.
   call({{1, 1000}, {2, 1000}, {3, 1000}}, std::string(8 << 20, 'x'));
   run_until([&] { return server_.has_unread_bytes(0); });
@@ -405,7 +406,7 @@
   EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
 }
 
-TEST_F(Calls, AnswerToABundleThatNeverEnds) {
+TEST_F(Calls, AnswerToABatchThatNeverEnds) {
   call({{1, 200}, {2, 1000}});
   wait_for_request(0);
   server_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{\"id\":\"id1\",\"state\":\"ok\"}");
@@ -424,7 +425,7 @@
   EXPECT_EQ(endings(), Endings{TransmissionResult::answered});
 }
 
-TEST_F(Calls, EndWithinAnAnswerToABundle) {
+TEST_F(Calls, EndWithinAnAnswerToABatch) {
   call({{1, 1000}, {2, 1000}});
   wait_for_request(0);
   server_.answer(0, "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n[{\"id\":\"id1\",\"state\":\"ok\"}");
@@ -433,7 +434,7 @@
   EXPECT_EQ(endings(), Endings(2, TransmissionResult::connection_lost));
 }
 
-TEST_F(Calls, UnreadableAnswerToABundle) {
+TEST_F(Calls, MalformedAnswerToABatch) {
   call({{1, 1000}, {2, 1000}});
   wait_for_request(0);
   server_.answer(0, answer_of(R"([{"id":"id1","state":"ok"},{"id":"id2")"));
@@ -442,7 +443,7 @@
 }
 
 // The endpoint's address changed during a call: the connection to the old address is not reused.
-TEST_F(Calls, MovedWhileACallWasOut) {
+TEST_F(Calls, AddressChangedDuringACall) {
   call({{1, 1000}});
   wait_for_request(0);
   ScriptedEndpoint moved;
--- a/tests/crossings/stream_test.cpp
+++ b/tests/crossings/stream_test.cpp
@@ -13,16 +13,16 @@
 namespace rockcrank {
 namespace {
 
-bool sends_at_once(int fd) {
+bool has_no_delay(int fd) {
   int on = 0;
   socklen_t size = sizeof on;
   return getsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, &size) == 0 && on != 0;
 }
 
-struct Listening {
+struct ListeningSocket {
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   Address address{"127.0.0.1", 0};
-  Listening() {
+  ListeningSocket() {
     sockaddr_in at{};
     at.sin_family = AF_INET, at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socklen_t size = sizeof at;
@@ -31,26 +31,26 @@
     EXPECT_EQ(getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size), 0);
     address.port = ntohs(at.sin_port);
   }
-  ~Listening() { ::close(fd); }
+  ~ListeningSocket() { ::close(fd); }
 };
 
-TEST(Stream, HoldsBackNoSmallWriteOnDialledAcceptedAndPassedConnections) {
+TEST(Stream, SetsNoDelayOnDialledAcceptedAndPassedConnections) {
   EventLoop loop;
-  Listening listening;
+  ListeningSocket listening;
   Stream dialled(loop, listening.address);
   int accepted_fd = accept4(listening.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   ASSERT_GE(accepted_fd, 0);
-  EXPECT_FALSE(sends_at_once(accepted_fd));  // the system's default; Stream sets it
+  EXPECT_FALSE(has_no_delay(accepted_fd));  // the system's default; Stream sets it
   Stream accepted(loop, accepted_fd);
-  EXPECT_TRUE(sends_at_once(dialled.snapshot().fd));
-  EXPECT_TRUE(sends_at_once(accepted.snapshot().fd));
+  EXPECT_TRUE(has_no_delay(dialled.snapshot().fd));
+  EXPECT_TRUE(has_no_delay(accepted.snapshot().fd));
   // As when passed to another process: a second descriptor of the same connection.
   Stream::Snapshot kept = accepted.snapshot();
   kept.fd = fcntl(kept.fd, F_DUPFD_CLOEXEC, 3);
   ASSERT_GE(kept.fd, 0);
   accepted.close();
   Stream passed(loop, kept);
-  EXPECT_TRUE(sends_at_once(passed.snapshot().fd));
+  EXPECT_TRUE(has_no_delay(passed.snapshot().fd));
 }
 
 }  // namespace
