--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -130,10 +130,10 @@
                                [this](DocId doc) { begin_turn(), resume_document(doc); },
                                [this](DocId doc) { release(doc); },
                                [this](DocId doc, bool accepted) { answer_pending(doc, accepted); },
-                               [this](const std::string& endpoint, bool out) {
-                                 if (!store_.set_offline(endpoint, out)) return;
+                               [this](const std::string& endpoint, bool offline) {
+                                 if (!store_.set_offline(endpoint, offline)) return;
                                  begin_turn();
-                                 decision_->set_offline(EndpointId(fnv1a_hash(endpoint)), out);
+                                 decision_->set_offline(EndpointId(fnv1a_hash(endpoint)), offline);
                                }});
   fleet_ = std::make_unique<peer::Fleet>(*around_, *fleet_config_, config_.state_folder, config_.seed);
   store_.on_record = [this](char kind, DocId doc, int transmission) {
@@ -149,8 +149,8 @@
   if (admin_) {
     admin_->on_metrics = [this] { return metrics(); };
     admin_->on_health = [this] { return std::string(shutting_down_ ? "it ends" : ""); };
-    admin_->on_set_offline = [this](const std::string& endpoint, bool out) {
-      return set_offline(endpoint, out);
+    admin_->on_set_offline = [this](const std::string& endpoint, bool offline) {
+      return set_offline(endpoint, offline);
     };
   }
   signals_.unblock_reload();
@@ -709,8 +709,9 @@
 }
 
 // On SIGHUP a new configuration is applied completely or not at all. Stored documents keep the type they were
-// accepted with; circuit breakers, waits and slow starts continue. Numbered settings that the state refers
-// to, limits of the process, and all addresses but the agent's change only at the next start.
+// accepted with; circuit breakers, waits and slow starts continue. Kinds, zones and other settings whose
+// numbers the state refers to, limits of the process, and all addresses but the agent's change only at the
+// next start.
 void Relay::reload_config() {
   try {
     auto updated = read_config(&config_);
--- a/src/relay/store.h
+++ b/src/relay/store.h
@@ -61,9 +61,8 @@
   // Whether no other running process owns a journal in the folder. If one does, adopt_orphaned_files()
   // recovers the journals whose owner has ended since and returns the documents found there.
   bool is_sole_process() const { return other_files_.empty(); }
-  bool has_recovered_file() const {
-    return has_recovered_file_;
-  }  // a journal of a process that has ended was recovered
+  // Whether a journal of a process that has ended was recovered.
+  bool has_recovered_file() const { return has_recovered_file_; }
   std::vector<DocId> adopt_orphaned_files();
   ~Store();
   Store(const Store&) = delete;
@@ -105,8 +104,8 @@
   std::size_t max_file_bytes() const;
   bool compact();
   bool write_failed(const char* step);  // logs the reason from errno; returns false
-  void append_and_apply(char kind, DocId doc, std::string_view payload,
-                        int transmission = 0);  // queues the record and applies it
+  // Queues the record and applies it.
+  void append_and_apply(char kind, DocId doc, std::string_view payload, int transmission = 0);
   void apply(char kind, DocId doc, std::string_view payload);
 
   const std::string folder_;
@@ -115,9 +114,8 @@
   std::unordered_map<std::string_view, DocId> by_id_;  // views of the ids in documents_
   std::uint64_t last_doc_number_ = 0;
   std::string path_;
-  std::vector<std::string> other_files_;  // files owned by other running processes
-  std::vector<std::pair<std::string, int>>
-      recovered_files_;  // recovered files, deleted by the next compaction
+  std::vector<std::string> other_files_;                      // files owned by other running processes
+  std::vector<std::pair<std::string, int>> recovered_files_;  // deleted by the next compaction
   // Wall clock minus monotonic clock, and the boot that this holds for. Times of transmissions are by this
   // wall clock. 0: not known.
   Millis wall_offset_ = 0;
