--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,4 +1,4 @@
-// rockcrank_adapter: the decision module behind the simulator's wire, on standard input and output.
+// rockcrank_adapter: runs the decision module for the simulator, on standard input and output.
 #include <exception>
 #include <iostream>
 #include <string_view>
@@ -8,8 +8,8 @@
 int main(int argc, char** argv) {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  bool notes = argc > 1 && std::string_view(argv[1]) == "--notes";  // short ones between instances
-  rockcrank::wire::Host host(std::cin, std::cout, notes);
+  bool gossip_enabled = argc > 1 && std::string_view(argv[1]) == "--notes";
+  rockcrank::wire::Host host(std::cin, std::cout, gossip_enabled);
   try {
     host.run();
   } catch (const std::exception& error) {
--- a/src/relay/admin.cpp
+++ b/src/relay/admin.cpp
@@ -1,6 +1,3 @@
-// One object a caller at the second address; admin.h says what it owns. Every answer is given in the round of
-// the loop in which its line came.
-
 #include "relay/admin.h"
 
 #include <algorithm>
@@ -13,70 +10,73 @@
 namespace rockcrank {
 namespace {
 
-constexpr std::size_t line_most = 256;
-constexpr Millis line_within = 5000;  // for the whole of its line
-constexpr Millis linger = 1000;       // for the caller's end, after the answer
-constexpr Millis asked_within = 2000;
+constexpr std::size_t max_line_bytes = 256;
+constexpr Millis line_timeout = 5000;   // to receive the complete line
+constexpr Millis close_timeout = 1000;  // for the peer to close after the answer
+constexpr Millis answer_timeout = 2000;
 
 }  // namespace
 
-class AdminServer::Caller {
+// One connection of the admin listener. Its line is answered as soon as it is complete.
+class AdminServer::Connection {
  public:
-  Caller(AdminServer& owner, std::uint64_t number, int fd)
-      : owner_(owner), number_(number), stream_(owner.loop_, fd), due_(owner.loop_, [this] { late(); }) {
-    due_.set(owner_.loop_.now() + line_within);
-    stream_.on_data = [this] { read(); };
-    stream_.on_close = [this] { owner_.ended(number_); };
-    stream_.on_half_close = [this] { say("error the line has no end"); };
+  Connection(AdminServer& server, std::uint64_t id, int fd)
+      : server_(server),
+        id_(id),
+        stream_(server.loop_, fd),
+        timer_(server.loop_, [this] { handle_timeout(); }) {
+    timer_.set(server_.loop_.now() + line_timeout);
+    stream_.on_data = [this] { handle_data(); };
+    stream_.on_close = [this] { server_.close(id_); };
+    stream_.on_half_close = [this] { respond("error the line has no end"); };
   }
-  void shut() { stream_.close(), due_.clear(); }
+  void close() { stream_.close(), timer_.clear(); }
 
  private:
-  void late() {
-    if (answered_ || stream_.received().empty()) return owner_.ended(number_);
-    say("error the line has no end");
+  void handle_timeout() {
+    if (answered_ || stream_.received().empty()) return server_.close(id_);
+    respond("error the line has no end");
   }
-  void read() {
+  void handle_data() {
     if (answered_) return;
-    auto got = stream_.received();
-    auto end = got.find('\n');
-    // Guards against half a line that names another endpoint than the whole would: only an ended one counts.
-    if (std::min(end, got.size()) > line_most) return say("error the line is too long");
-    if (end != std::string_view::npos) say(owner_.answer(got.substr(0, end)));
+    auto received = stream_.received();
+    auto end = received.find('\n');
+    // Half a line could name another endpoint, so only a terminated line is executed.
+    if (std::min(end, received.size()) > max_line_bytes) return respond("error the line is too long");
+    if (end != std::string_view::npos) respond(server_.answer(received.substr(0, end)));
   }
-  void say(const std::string& line) {
+  void respond(const std::string& line) {
     if (std::exchange(answered_, true)) return;
-    due_.set(owner_.loop_.now() + linger);
+    timer_.set(server_.loop_.now() + close_timeout);
     stream_.send(line + "\n");
     stream_.close_gracefully();
   }
 
-  AdminServer& owner_;
-  const std::uint64_t number_;
+  AdminServer& server_;
+  const std::uint64_t id_;
   Stream stream_;
-  Timer due_;
+  Timer timer_;
   bool answered_ = false;
 };
 
-AdminServer::AdminServer(EventLoop& loop, const Address& at)
-    : loop_(loop), listener_(loop, at, [this](int fd) { taken(fd); }) {}
+AdminServer::AdminServer(EventLoop& loop, const Address& address)
+    : loop_(loop), listener_(loop, address, [this](int fd) { accept(fd); }) {}
 
 AdminServer::~AdminServer() = default;
 
-// Guards against callers that send nothing and stay: the eldest makes way, as a whole line would long have
-// been answered.
-void AdminServer::taken(int fd) {
-  if (callers_.size() >= max_connections) ended(callers_.begin()->first);
-  auto number = ++last_;
-  callers_[number] = std::make_unique<Caller>(*this, number, fd);
+// At the limit the oldest connection is dropped: a caller that has not sent its line by now is idle or stuck.
+void AdminServer::accept(int fd) {
+  if (connections_.size() >= max_connections) close(connections_.begin()->first);
+  auto id = ++last_connection_id_;
+  connections_[id] = std::make_unique<Connection>(*this, id, fd);
 }
 
-void AdminServer::ended(std::uint64_t number) {
-  auto found = callers_.find(number);
-  if (found == callers_.end()) return;
-  found->second->shut();
+void AdminServer::close(std::uint64_t id) {
+  auto found = connections_.find(id);
+  if (found == connections_.end()) return;
+  found->second->close();
   loop_.defer_delete(std::move(found->second));
-  callers_.erase(found);
+  connections_.erase(found);
 }
 
 std::string AdminServer::answer(std::string_view line) {
@@ -86,32 +86,32 @@
     if (auto word = next_token(rest, ' '); !word.empty()) words.emplace_back(word);
   if (words.empty()) return "error the line is empty";
   if (!std::all_of(words.begin(), words.end(), is_printable)) return "error the line cannot be read";
-  bool out = words[0] == "OFFLINE", health = words[0] == "HEALTH", metrics = words[0] == "METRICS";
+  bool offline = words[0] == "OFFLINE", health = words[0] == "HEALTH", metrics = words[0] == "METRICS";
   if (metrics && words.size() > 1) return "error METRICS takes no argument";
   if (metrics) return on_metrics ? "done " + on_metrics() : "error this process does not take clients yet";
-  if (!health && !out && words[0] != "ONLINE") return "error unknown command " + quote_excerpt(words[0]);
+  if (!health && !offline && words[0] != "ONLINE") return "error unknown command " + quote_excerpt(words[0]);
   if (health && words.size() > 1) return "error HEALTH takes no argument";
   if (!health && words.size() != 2) return "error " + words[0] + " takes one endpoint's id";
   if (!on_health) return "error this process does not take clients yet";
-  auto why = health ? on_health() : on_set_offline(words[1], out);
-  return why.empty() ? "done" : "error " + why;
+  auto error = health ? on_health() : on_set_offline(words[1], offline);
+  return error.empty() ? "done" : "error " + error;
 }
 
-std::string send_admin_command(const Address& at, const std::string& line) {
+std::string send_admin_command(const Address& address, const std::string& line) {
   EventLoop loop;
-  Stream stream(loop, at);
+  Stream stream(loop, address);
   std::string answer;
-  Timer late(loop, [&] { loop.stop(); });
+  Timer timeout(loop, [&] { loop.stop(); });
   stream.on_data = [&] { answer = std::string(stream.received()); };
   stream.on_close = [&] { loop.stop(); };
-  bool refused = stream.state() == Stream::State::closed;
-  if (!refused) {
+  bool failed = stream.state() == Stream::State::closed;
+  if (!failed) {
     stream.send(line + "\n");
-    late.set(loop.now() + asked_within);
+    timeout.set(loop.now() + answer_timeout);
     loop.run();
   }
   if (answer.empty() || answer.back() != '\n')
-    throw std::runtime_error("nobody answers at " + at.host + ":" + std::to_string(at.port));
+    throw std::runtime_error("no answer from " + address.host + ":" + std::to_string(address.port));
   answer.pop_back();
   return answer;
 }
--- a/src/relay/admin.h
+++ b/src/relay/admin.h
@@ -1,5 +1,5 @@
-// Owns the second address, where on-call staff and the platform call: one line in, one line out, then closed.
-// It must never decide what a call does, and never let one caller hold up another.
+// The admin listener (the "second address"), for operators and the platform: a connection carries one command
+// line and one answer line, then it is closed. Connections never wait for each other.
 #pragma once
 
 #include <cstdint>
@@ -15,29 +15,29 @@
 
 class AdminServer {
  public:
-  static constexpr std::size_t max_connections = 16;  // their descriptors, and the listener's, are set apart
+  static constexpr std::size_t max_connections = 16;  // descriptors for them and the listener are reserved
 
-  AdminServer(EventLoop& loop, const Address& at);
+  AdminServer(EventLoop& loop, const Address& address);
   ~AdminServer();
 
-  // Each answers with a reason why not; empty: done. Not set: this process does not serve yet.
+  // Each returns an error, or an empty text for success. Not set: this process does not serve yet.
   std::function<std::string()> on_health;
-  std::function<std::string()> on_metrics;  // answers with the metrics themselves
-  std::function<std::string(const std::string& endpoint, bool out)> on_set_offline;
+  std::function<std::string()> on_metrics;  // returns the metrics
+  std::function<std::string(const std::string& endpoint, bool offline)> on_set_offline;
 
  private:
-  class Caller;
+  class Connection;
   std::string answer(std::string_view line);
-  void taken(int fd);
-  void ended(std::uint64_t number);
+  void accept(int fd);
+  void close(std::uint64_t id);
 
   EventLoop& loop_;
-  std::map<std::uint64_t, std::unique_ptr<Caller>> callers_;  // the eldest first
-  std::uint64_t last_ = 0;
+  std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;  // by age, the oldest first
+  std::uint64_t last_connection_id_ = 0;
   Listener listener_;
 };
 
-// The same call from the command line: the line that was answered; throws where nobody answers in time.
-std::string send_admin_command(const Address& at, const std::string& line);
+// Sends one command, as the command line does, and returns the answer line; throws if none arrives in time.
+std::string send_admin_command(const Address& address, const std::string& line);
 
 }  // namespace rockcrank
--- a/src/relay/config.cpp
+++ b/src/relay/config.cpp
@@ -1,5 +1,4 @@
-// Reads the environment and the configuration file; config.h says what it owns. What is missing or wrong ends
-// in an exception with a plain text, never in a guess.
+// Missing or invalid configuration throws; nothing is guessed.
 
 #include "relay/config.h"
 
@@ -19,15 +18,15 @@
 
 using Json = nlohmann::json;
 
-constexpr std::size_t spare_descriptors = 16;  // files, agent, listener, signals and the three standard ones
+constexpr std::size_t reserved_descriptors = 16;  // files, agent, listener, signals, stdin, stdout, stderr
 
-std::string plain(const Json& value) {
+std::string to_text(const Json& value) {
   if (value.is_string()) return value.get<std::string>();
   if (value.is_null()) return "-";
   return value.dump();
 }
 
-// Nested JSON as the paths that the simulator's first message uses for the same settings.
+// Flattens nested JSON to the dotted paths that the simulator's protocol uses for the same settings.
 void flatten(const Json& value, const std::string& path, KeyValues& pairs) {
   auto under = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
   if (value.is_object()) {
@@ -37,27 +36,27 @@
     std::string joined;
     for (std::size_t i = 0; i < value.size(); ++i) {
       if (objects) flatten(value[i], under(std::to_string(i)), pairs);
-      else joined.append(i > 0 ? "," : "").append(plain(value[i]));
+      else joined.append(i > 0 ? "," : "").append(to_text(value[i]));
     }
     if (objects) pairs.set(under("count"), std::to_string(value.size()));
     else pairs.set(path, joined);
   } else {
-    pairs.set(path, plain(value));
+    pairs.set(path, to_text(value));
   }
 }
 
 template <typename Id>
-std::unordered_map<std::string, Id> numbered_names(const std::vector<std::string_view>& names) {
+std::unordered_map<std::string, Id> ids_by_name(const std::vector<std::string_view>& names) {
   std::unordered_map<std::string, Id> numbers;
   for (std::size_t i = 0; i < names.size(); ++i) numbers[std::string(names[i])] = Id(i);
   return numbers;
 }
 
 template <typename Id>
-Id number_of(const std::unordered_map<std::string, Id>& names, const Json& target, const char* field) {
+Id find_id(const std::unordered_map<std::string, Id>& names, const Json& target, const char* field) {
   auto value = target.find(field);
   if (value == target.end()) return Id{};
-  auto found = names.find(plain(*value));
+  auto found = names.find(to_text(*value));
   return found == names.end() ? Id{} : found->second;
 }
 
@@ -66,21 +65,22 @@
   return value ? value : "";
 }
 
-// The keys of nested objects, as paths. What a list holds may come and go.
-void add_keys(const Json& object, const std::string& path, std::set<std::string>& keys) {
+// Collects the keys of nested objects as paths. Array elements are not included: they may be added and
+// removed.
+void collect_keys(const Json& object, const std::string& path, std::set<std::string>& keys) {
   for (const auto& [name, inner] : object.items()) {
     keys.insert(path + name);
-    if (inner.is_object()) add_keys(inner, path + name + ".", keys);
+    if (inner.is_object()) collect_keys(inner, path + name + ".", keys);
   }
 }
 
-// What a file must still hold when it is read again: its settings and what names the relay and its places.
-std::set<std::string> keys_of(const Json& json) {
+// The paths that a reloaded file must still hold: its settings, and the relay's name and addresses.
+std::set<std::string> required_keys_of(const Json& json) {
   std::set<std::string> keys;
-  add_keys(json.at("settings"), "settings.", keys);
+  collect_keys(json.at("settings"), "settings.", keys);
   for (const char* name : {"name", "listen", "discovery", "limits", "settings"})
     if (json.contains(name)) keys.insert(name);
-  // What each document type tells, all types of a file have to tell.
+  // A field that all document types have must stay in all of them.
   const Json& types = json.at("settings").at("classes");
   for (const auto& [field, value] : types.at(0).items())
     if (std::all_of(types.begin(), types.end(), [&](const Json& type) { return type.contains(field); }))
@@ -88,46 +88,47 @@
   return keys;
 }
 
-// Guards against figures by which no document could ever be taken, or each would end at once.
-void check(const Json& json) {
+// Rejects values by which no document could ever be accepted, or every document would expire at once.
+void validate(const Json& json) {
   auto positive = [](const Json& where, const char* field, const std::string& place) {
     auto found = where.find(field);
     if (found == where.end() || !found->is_number() || found->get<double>() <= 0)
-      throw std::runtime_error(place + "." + field + " is no positive number");
+      throw std::runtime_error(place + "." + field + " must be a positive number");
   };
-  if (!json.contains("settings")) throw std::runtime_error("there are no settings");
+  if (!json.contains("settings")) throw std::runtime_error("settings is missing");
   const Json& settings = json.at("settings");
-  if (!settings.is_object()) throw std::runtime_error("settings is no object");
-  auto told = [](const Json& where, const char* field) {
+  if (!settings.is_object()) throw std::runtime_error("settings must be an object");
+  auto is_set = [](const Json& where, const char* field) {
     return where.is_object() && where.contains(field) && !where[field].is_null();
   };
   auto limits = settings.value("limits", Json::object()), rules = settings.value("rules", Json::object());
   positive(limits, "maxAttempts", "settings.limits");
-  if (told(limits, "dialTimeoutUs")) positive(limits, "dialTimeoutUs", "settings.limits");
-  if (told(rules, "orderSettleUs") &&
+  if (is_set(limits, "dialTimeoutUs")) positive(limits, "dialTimeoutUs", "settings.limits");
+  if (is_set(rules, "orderSettleUs") &&
       (!rules["orderSettleUs"].is_number() || rules["orderSettleUs"].get<double>() < 0))
-    throw std::runtime_error("settings.rules.orderSettleUs is no number from 0 up");
+    throw std::runtime_error("settings.rules.orderSettleUs must be a number, 0 or greater");
   auto types = settings.value("classes", Json::array());
-  if (!types.is_array() || types.empty()) throw std::runtime_error("settings.classes names no document type");
+  if (!types.is_array() || types.empty())
+    throw std::runtime_error("settings.classes must list at least one document type");
   std::set<std::string> names;
   for (std::size_t i = 0; i < types.size(); ++i) {
     auto place = "settings.classes." + std::to_string(i);
-    if (!types[i].is_object()) throw std::runtime_error(place + " is no object");
+    if (!types[i].is_object()) throw std::runtime_error(place + " must be an object");
     for (const char* field : {"deadlineUs", "goalTimeUs"}) positive(types[i], field, place);
-    if (told(types[i], "worth")) positive(types[i], "worth", place);
-    if (told(types[i], "inOrder") && !types[i]["inOrder"].is_boolean())
-      throw std::runtime_error(place + ".inOrder is neither true nor false");
+    if (is_set(types[i], "worth")) positive(types[i], "worth", place);
+    if (is_set(types[i], "inOrder") && !types[i]["inOrder"].is_boolean())
+      throw std::runtime_error(place + ".inOrder must be true or false");
     for (const char* field : {"name", "repeat"})
       if (!types[i].contains(field) || !types[i][field].is_string() || types[i][field] == "")
         throw std::runtime_error(place + "." + field + " is missing");
     if (!names.insert(types[i]["name"].get<std::string>()).second)
-      throw std::runtime_error(place + ".name stands twice");
+      throw std::runtime_error(place + ".name is not unique");
   }
 }
 
-// Kinds and halls are numbers in all that is held and listed, so a change of them waits for the next start;
-// tenants may come and go, and those known keep their numbers.
-void keep_numbers(const Config& before, Config& config) {
+// Ids of kinds and zones are in use by held documents and listed endpoints, so a change of them takes effect
+// only at the next start. Tenants may be added and removed; known ones keep their ids.
+void keep_assigned_ids(const Config& before, Config& config) {
   config.kinds = before.kinds, config.settings.destination_kinds = before.settings.destination_kinds;
   config.zones = before.zones, config.settings.zone = before.settings.zone;
   auto tenants = before.tenants;
@@ -140,14 +141,14 @@
   config.tenants = std::move(tenants), config.settings.tenant_rates = std::move(rates);
 }
 
-std::string said(const Json& json, const char* variable, const char* field) {
+std::string environment_or_file(const Json& json, const char* variable, const char* field) {
   auto value = environment(variable);
   return value.empty() ? json.value(field, "") : value;
 }
 
 Json read_file() {
   auto path = environment("BALANCER_CONFIG");
-  if (path.empty()) throw std::runtime_error("BALANCER_CONFIG names no configuration file");
+  if (path.empty()) throw std::runtime_error("BALANCER_CONFIG is not set");
   std::ifstream file(path);
   if (!file) throw std::runtime_error("cannot read the configuration file " + path);
   return Json::parse(file);
@@ -163,12 +164,12 @@
       ListedEndpoint listed;
       auto state = target.at("state").get<std::string>();
       listed.entry.endpoint = EndpointId(fnv1a_hash(target.at("uid").get<std::string>()));
-      // One that drains or is gone may be told by its name alone.
+      // A draining or gone endpoint may be listed by its id alone.
       bool needed = state == "Ready";
       if (needed || target.contains("pod_group"))
         listed.entry.destination = DestinationId(target.at("pod_group").get<std::uint64_t>());
-      listed.entry.kind = number_of(kinds, target, "model");
-      listed.entry.zone = number_of(zones, target, "az");
+      listed.entry.kind = find_id(kinds, target, "model");
+      listed.entry.zone = find_id(zones, target, "az");
       listed.entry.status = needed            ? EndpointStatus::ready
                             : state == "Gone" ? EndpointStatus::gone
                                               : EndpointStatus::draining;
@@ -177,7 +178,7 @@
         listed.address = parse_address(target.at("endpoint").get<std::string>());
       list.entries.push_back(std::move(listed));
     } catch (const std::exception& error) {
-      log_line("list: an entry is left out: %s", error.what());  // the others still hold
+      log_line("discovery: list entry skipped: %s", error.what());  // the other entries are valid
     }
   return list;
 }
@@ -191,55 +192,57 @@
 Address read_admin_address() {
   auto at = environment("BALANCER_ADMIN");
   if (at.empty()) at = read_file().value("admin", "");
-  if (at.empty()) throw std::runtime_error("neither BALANCER_ADMIN nor 'admin' is told");
+  if (at.empty()) throw std::runtime_error("neither BALANCER_ADMIN nor 'admin' is set");
   return parse_address(at);
 }
 
 Config read_config(const Config* before) {
   Json json = read_file();
-  if (!json.is_object()) throw std::runtime_error("the configuration file holds no object");
-  auto told = [&](const char* variable, const char* field) {
-    auto value = said(json, variable, field);
+  if (!json.is_object()) throw std::runtime_error("the configuration file must hold a JSON object");
+  auto required = [&](const char* variable, const char* field) {
+    auto value = environment_or_file(json, variable, field);
     if (value.empty())
-      throw std::runtime_error(std::string("neither ") + variable + " nor '" + field + "' is told");
+      throw std::runtime_error(std::string("neither ") + variable + " nor '" + field + "' is set");
     return value;
   };
   Config config;
-  config.name = told("BALANCER_NAME", "name");
-  config.listen = parse_address(told("BALANCER_LISTEN", "listen"));
-  // The file is what is replaced while the relay runs, so its own word on discovery comes first.
+  config.name = required("BALANCER_NAME", "name");
+  config.listen = parse_address(required("BALANCER_LISTEN", "listen"));
+  // Only the file can change while the relay runs, so its discovery address takes precedence.
   auto discovery = json.value("discovery", "");
-  config.discovery = parse_address(discovery.empty() ? told("BALANCER_DISCOVERY", "discovery") : discovery);
+  config.discovery =
+      parse_address(discovery.empty() ? required("BALANCER_DISCOVERY", "discovery") : discovery);
   if (auto passed = environment("BALANCER_PASSED_SOCKET"); !passed.empty())
     config.inherited_socket = static_cast<int>(parse_integer(passed, "BALANCER_PASSED_SOCKET", 0, 1 << 20));
-  config.state_folder = told("BALANCER_STATE", "state");
-  config.fleet_file = said(json, "BALANCER_FLEET", "fleet");
+  config.state_folder = required("BALANCER_STATE", "state");
+  config.fleet_file = environment_or_file(json, "BALANCER_FLEET", "fleet");
   auto seed = json.find("seed");
-  if (seed != json.end()) config.seed = fnv1a_hash(plain(*seed));
+  if (seed != json.end()) config.seed = fnv1a_hash(to_text(*seed));
   auto limits = json.value("limits", Json::object());
   auto sockets = limits.value("sockets", std::size_t{256});
   rlimit files{};
   if (getrlimit(RLIMIT_NOFILE, &files) == 0)
     sockets = std::min(sockets, static_cast<std::size_t>(files.rlim_cur));
-  auto admin = said(json, "BALANCER_ADMIN", "admin");
+  auto admin = environment_or_file(json, "BALANCER_ADMIN", "admin");
   if (!admin.empty()) config.admin = parse_address(admin);
-  auto spare = spare_descriptors + (admin.empty() ? 0 : AdminServer::max_connections + 1);
-  if (sockets < spare + 4) throw std::runtime_error("too few sockets: " + std::to_string(sockets));
-  config.max_client_connections = (sockets - spare) / 2;
-  config.max_idle_clients = sockets / 6;  // half of what the platform lets clients hold for requests
-  config.max_endpoint_connections = sockets - spare - config.max_client_connections;
+  auto reserved = reserved_descriptors + (admin.empty() ? 0 : AdminServer::max_connections + 1);
+  if (sockets < reserved + 4)
+    throw std::runtime_error("too few sockets (limits.sockets or RLIMIT_NOFILE): " + std::to_string(sockets));
+  config.max_client_connections = (sockets - reserved) / 2;
+  config.max_idle_clients = sockets / 6;  // half of the connections that the platform allows clients
+  config.max_endpoint_connections = sockets - reserved - config.max_client_connections;
   config.max_disk_bytes = static_cast<std::size_t>(limits.value("disk_mb", 1.0) * 1e6);
-  check(json);
-  config.required_keys = keys_of(json);
+  validate(json);
+  config.required_keys = required_keys_of(json);
   for (const auto& key : before ? before->required_keys : std::set<std::string>{})
     if (!config.required_keys.count(key)) throw std::runtime_error("the key " + key + " is missing");
   KeyValues pairs;
   flatten(json.at("settings"), "", pairs);
   config.settings = decode_settings(pairs);
-  // No more calls can be out than there are sockets for them.
+  // There cannot be more concurrent calls than connections.
   config.settings.slots = std::min(config.settings.slots, static_cast<int>(config.max_endpoint_connections));
-  config.settings.end_reports_acknowledged = true;  // a notice is a call to the agent
-  config.settings.discovery_on_request = true;      // on sockets the list changes only for those who watch it
+  config.settings.end_reports_acknowledged = true;  // by the agent's response to a report
+  config.settings.discovery_on_request = true;      // list changes arrive only while the list is watched
   auto names = [&](const std::string& list) {
     std::vector<std::string_view> found;
     for (int i = 0; i < pairs.count(list + ".count"); ++i)
@@ -249,10 +252,10 @@
   auto types = names("classes");
   for (std::size_t i = 0; i < types.size(); ++i)
     config.doc_types[std::string(types[i])] = config.settings.doc_types.at(i);
-  config.tenants = numbered_names<TenantId>(names("orgs"));
-  config.kinds = numbered_names<DestinationKindId>(pairs.list("skus"));
-  config.zones = numbered_names<ZoneId>(pairs.list("zones"));
-  if (before) keep_numbers(*before, config);
+  config.tenants = ids_by_name<TenantId>(names("orgs"));
+  config.kinds = ids_by_name<DestinationKindId>(pairs.list("skus"));
+  config.zones = ids_by_name<ZoneId>(pairs.list("zones"));
+  if (before) keep_assigned_ids(*before, config);
   config.gossip_allowed =
       pairs.flag("limits.peerMessages") && json.contains("peer_listen") && json.contains("peers_all");
   if (config.gossip_allowed) {
@@ -262,7 +265,7 @@
   config.idle_timeout = pairs.duration("limits.keepaliveUs");
   if (auto known = json.find("known"); known != json.end() && known->is_object())
     config.known_endpoints = config.parse_endpoint_list(*known);
-  for (const char* changing : {"discovery", "known", "seed", "admin"}) json.erase(changing);
+  for (const char* reloadable : {"discovery", "known", "seed", "admin"}) json.erase(reloadable);
   Json numbered{json["settings"].value("skus", Json{}), json["settings"].value("zones", Json{})};
   json["settings"] = numbered;
   config.numbering_hash = before ? before->numbering_hash : std::to_string(fnv1a_hash(numbered.dump()));
--- a/src/relay/config.h
+++ b/src/relay/config.h
@@ -1,5 +1,4 @@
-// Owns what the relay is told at its start, and by SIGHUP again: the configuration file, decoded once. It
-// must never be written to afterwards nor hold a second copy of a setting.
+// The relay's configuration, from the environment and the configuration file; read at start and on SIGHUP.
 #pragma once
 
 #include <cstdint>
@@ -16,12 +15,13 @@
 
 namespace rockcrank {
 
-// How the list names endpoints, and where this relay reaches them.
+// An entry of the endpoint list, with the address at which this relay reaches it.
 struct ListedEndpoint {
   EndpointEntry entry;
   Address address;
 };
 
+// A response of service discovery: the full list, or the changes since an earlier version.
 struct EndpointListUpdate {
   std::int64_t version = 0;
   bool full = false;
@@ -30,12 +30,12 @@
 
 struct Config {
   std::string name;
-  Address listen, discovery, admin;  // admin: no port where nothing is to listen there
+  Address listen, discovery, admin;  // admin: port 0 disables the admin listener
   std::string state_folder;
-  std::string fleet_file;       // empty: this relay has no fleet
-  bool gossip_allowed = false;  // short notes to other relays, by the platform's settings
+  std::string fleet_file;       // empty: no fleet
+  bool gossip_allowed = false;  // the settings allow gossip datagrams between relays
   Address peer_listen, peer_broadcast;
-  int inherited_socket = -1;  // clients', that the platform holds for all processes of this relay; -1: none
+  int inherited_socket = -1;  // client listening socket shared by all processes of this relay; -1: none
   std::uint64_t seed = 1;
   std::size_t max_client_connections = 0, max_idle_clients = 0, max_endpoint_connections = 0,
               max_disk_bytes = 0;
@@ -45,19 +45,21 @@
   std::unordered_map<std::string, DestinationKindId> kinds;
   std::unordered_map<std::string, ZoneId> zones;
   Millis idle_timeout = 0;
-  EndpointListUpdate known_endpoints;
-  std::set<std::string> required_keys;  // all that the file had to hold, as paths
-  std::string numbering_hash;           // alike where kinds and halls are numbered alike
-  std::uint64_t restart_only_hash = 0;  // tells whether what only a start takes in has changed
-
-  EndpointListUpdate parse_endpoint_list(
-      const nlohmann::json& answer) const;             // throws on what it cannot read
-  std::map<std::string, RetrySafety> repeats() const;  // of the document types, by name
+  EndpointListUpdate known_endpoints;   // used until service discovery has answered
+  std::set<std::string> required_keys;  // paths that the file must still hold when it is reloaded
+  std::string numbering_hash;           // equal if destination kinds and zones have equal ids
+  std::uint64_t restart_only_hash = 0;  // of all that takes effect only at a start
+
+  // Throws on a malformed list; a malformed entry is only skipped.
+  EndpointListUpdate parse_endpoint_list(const nlohmann::json& answer) const;
+  std::map<std::string, RetrySafety> repeats() const;  // by document type name
 };
 
-Address read_admin_address();  // of the second address; throws where none is told
-// From the environment and the file that it names; throws std::exception. Read again, the file must hold all
-// that it held before, and what only a start takes in stays as it was.
+// The admin listener's address; throws if none is set.
+Address read_admin_address();
+// Reads the environment and the file that it names; throws std::exception. On a reload (`before` is set)
+// every key required before must still be there, and settings that take effect only at a start keep their
+// values.
 Config read_config(const Config* before = nullptr);
 
 }  // namespace rockcrank
--- a/src/relay/discovery.cpp
+++ b/src/relay/discovery.cpp
@@ -1,6 +1,3 @@
-// Requests to the agent, one at a time on each connection; discovery.h says what it owns. Nothing here may
-// judge an endpoint by what the list says.
-
 #include "relay/discovery.h"
 
 #include <algorithm>
@@ -13,34 +10,34 @@
 namespace rockcrank {
 namespace {
 
-constexpr std::size_t list_most = 4 << 20;
-constexpr std::size_t notices_at_once = 100;  // well under the 64 KiB that a body may hold
-constexpr Millis answer_within = 1000;        // the agent is on this machine
-constexpr Millis notice_within = 100;         // it answers notices at once; doubled with each that is not
+constexpr std::size_t max_list_bytes = 4 << 20;
+constexpr std::size_t max_reports_per_request = 100;  // stays well under the body limit of 64 KiB
+constexpr Millis response_timeout = 1000;             // the agent runs on this machine
+constexpr Millis report_timeout = 100;                // reports are answered at once; doubled on each failure
 }  // namespace
 
-void AgentClient::send_request(std::string request, Millis within) {
+void AgentClient::send_request(std::string request, Millis timeout) {
   request_ = std::move(request);
-  asking_ = true;
-  asked_at_ = loop_.now();
-  until_ = asked_at_ + within;
-  kept_ = stream_ && stream_->state() == Stream::State::connected;
-  if (!kept_) return open();
-  timer_.set(until_);
+  in_flight_ = true;
+  sent_at_ = loop_.now();
+  deadline_ = sent_at_ + timeout;
+  reused_connection_ = stream_ && stream_->state() == Stream::State::connected;
+  if (!reused_connection_) return connect();
+  timer_.set(deadline_);
   stream_->send(request_);
 }
 
-void AgentClient::open() {
-  drop();
+void AgentClient::connect() {
+  close_connection();
   stream_ = std::make_unique<Stream>(loop_, agent_);
-  stream_->on_data = [this] { read(false); };
-  stream_->on_close = [this] { read(true); };
-  bool stillborn = stream_->state() == Stream::State::closed;
-  timer_.set(stillborn ? loop_.now() : until_);
-  if (!stillborn) stream_->send(request_);
+  stream_->on_data = [this] { handle_data(false); };
+  stream_->on_close = [this] { handle_data(true); };
+  bool failed = stream_->state() == Stream::State::closed;
+  timer_.set(failed ? loop_.now() : deadline_);
+  if (!failed) stream_->send(request_);
 }
 
-void AgentClient::drop() {
+void AgentClient::close_connection() {
   timer_.clear();
   if (!stream_) return;
   stream_->close();
@@ -49,105 +46,105 @@
 
 void AgentClient::set_agent(const Address& agent) {
   agent_ = agent;
-  asking_ = false;
-  drop();
+  in_flight_ = false;
+  close_connection();
 }
 
 void AgentClient::fail() {
-  drop();
-  if (std::exchange(asking_, false)) on_failure();
+  close_connection();
+  if (std::exchange(in_flight_, false)) on_failure();
 }
 
-void AgentClient::read(bool ended) {
-  if (!asking_) return drop();
-  auto answer = parse_response(stream_->received(), list_most, ended);
-  if (answer.state == HttpResponse::State::partial && !ended) return;
-  if (answer.state != HttpResponse::State::complete) {
-    // The agent may have closed a kept connection just then: asked once more on a new one.
-    if (ended && std::exchange(kept_, false) && stream_->received().empty()) return open();
+void AgentClient::handle_data(bool closed) {
+  if (!in_flight_) return close_connection();
+  auto response = parse_response(stream_->received(), max_list_bytes, closed);
+  if (response.state == HttpResponse::State::partial && !closed) return;
+  if (response.state != HttpResponse::State::complete) {
+    // The agent may have closed the idle connection just as it was reused: retry once on a new one.
+    if (closed && std::exchange(reused_connection_, false) && stream_->received().empty()) return connect();
     return fail();
   }
-  asking_ = false;
+  in_flight_ = false;
   timer_.clear();
-  // The answer is slices of the stream's buffer, so that goes only after it has been taken in.
-  if (answer.closes_connection || ended || answer.size < stream_->received().size()) {
-    auto done = std::move(stream_);
-    done->close();
-    on_response(answer);
-    return loop_.defer_delete(std::move(done));
+  // The response points into the stream's buffer, which must outlive on_response().
+  if (response.closes_connection || closed || response.size < stream_->received().size()) {
+    auto finished = std::move(stream_);
+    finished->close();
+    on_response(response);
+    return loop_.defer_delete(std::move(finished));
   }
-  Stream* stream = stream_.get();  // lives to the end of the round, even if dropped meanwhile
-  on_response(answer);
-  stream->consume(answer.size);
+  Stream* stream = stream_.get();  // on_response() may drop it; it lives until the end of the iteration
+  on_response(response);
+  stream->consume(response.size);
 }
 
-EndpointListWatch::EndpointListWatch(EventLoop& loop, const Address& agent) : asker_(loop, agent) {
-  asker_.on_failure = [this] { on_failure(false, asker_.elapsed()); };
-  asker_.on_response = [this](const HttpResponse& answer) {
-    if (answer.status != 200 || !on_list(answer.body())) {
-      log_line("watch: answer %d of %zu bytes is of no use", answer.status, answer.body().size());
-      return on_failure(answer.status == 503, asker_.elapsed());
+EndpointListWatch::EndpointListWatch(EventLoop& loop, const Address& agent) : client_(loop, agent) {
+  client_.on_failure = [this] { on_failure(false, client_.elapsed()); };
+  client_.on_response = [this](const HttpResponse& response) {
+    if (response.status != 200 || !on_list(response.body())) {
+      log_line("discovery: unusable response, status %d, %zu bytes", response.status, response.body().size());
+      return on_failure(response.status == 503, client_.elapsed());
     }
-    going_ = true;
-    next();  // at once, or changes in between are lost to the watch
+    has_answered_ = true;
+    poll();  // at once, or the watch would miss changes in between
   };
 }
 
 void EndpointListWatch::set_agent(const Address& agent) {
-  asker_.set_agent(agent);
-  if (late_ > 0) start(wait_, late_);  // else it has not been followed yet, and soon will be
+  client_.set_agent(agent);
+  if (timeout_ > 0) start(wait_, timeout_);  // else start() has not been called yet
 }
 
-// A list comes from discovery, which answers after what was asked before, or gives up after 2 s; or from an
-// agent beside the relay. Guards against asking anew while discovery works on the answer: that is work for
-// nothing, and each further call makes all wait longer.
-void EndpointListWatch::start(Millis wait, Millis late) {
-  wait_ = wait, late_ = late;
-  if (asker_.in_flight()) return;
-  going_ = false;
-  if (version() < 0) return asker_.send_request("GET /v1/servers HTTP/1.1\r\nHost: agent\r\n\r\n", late_);
-  next();
+// The list comes from a discovery service, which answers requests in order or gives up after 2 s, or from an
+// agent on the same machine. A second request while one is being answered would waste work and delay all
+// others.
+void EndpointListWatch::start(Millis wait, Millis timeout) {
+  wait_ = wait, timeout_ = timeout;
+  if (client_.in_flight()) return;
+  has_answered_ = false;
+  if (version() < 0) return client_.send_request("GET /v1/servers HTTP/1.1\r\nHost: agent\r\n\r\n", timeout_);
+  poll();
 }
 
-void EndpointListWatch::next() {
-  // Guards against a watch whose answer is lost: told of nothing, the relay would go on calling those that
-  // drain.
+void EndpointListWatch::poll() {
+  // A lost response must time out: without updates the relay would keep calling endpoints that drain.
   auto wait = std::to_string(static_cast<int>(wait_));
-  asker_.send_request("GET /v1/servers?after=" + std::to_string(version()) + "&wait_ms=" + wait +
-                          " HTTP/1.1\r\nHost: agent\r\n\r\n",
-                      wait_ + (going_ ? std::min(late_, answer_within) : late_));
+  client_.send_request("GET /v1/servers?after=" + std::to_string(version()) + "&wait_ms=" + wait +
+                           " HTTP/1.1\r\nHost: agent\r\n\r\n",
+                       wait_ + (has_answered_ ? std::min(timeout_, response_timeout) : timeout_));
 }
 
 ReportSender::ReportSender(EventLoop& loop, const Address& agent)
-    : loop_(loop), asker_(loop, agent), again_(loop, [this] { send(); }) {
-  asker_.on_response = [this](const HttpResponse& answer) {
-    if (answer.status != 204) log_line("notices: answer %d to %zu", answer.status, under_way_.size());
-    if (answer.status >= 500) return asker_.on_failure();
-    // One that cannot be read would not be the next time either, and must not hold up the others.
+    : loop_(loop), client_(loop, agent), retry_timer_(loop, [this] { send(); }) {
+  client_.on_response = [this](const HttpResponse& response) {
+    if (response.status != 204)
+      log_line("reports: status %d for %zu reports", response.status, in_flight_.size());
+    if (response.status >= 500) return client_.on_failure();
+    // A report that the agent rejects would be rejected again, and must not block the others: it is dropped.
     failures_ = 0;
-    for (const auto& notice : std::exchange(under_way_, {})) on_acknowledged(notice.doc);
+    for (const auto& report : std::exchange(in_flight_, {})) on_acknowledged(report.doc);
     send();
   };
-  asker_.on_failure = [this] {
-    take_back();
-    // Guards against notices lost behind a kept connection that has fallen silent, as one told at its
-    // document's expiry has 300 ms: all are told once more at once, on a new connection.
+  client_.on_failure = [this] {
+    requeue_in_flight();
+    // The reused connection may be dead, and a report sent at its document's expiry has only 300 ms: the
+    // first retry is immediate, on a new connection.
     if (++failures_ == 1) return send();
-    again_.set(loop_.now() + backoff_after(failures_ - 1));
+    retry_timer_.set(loop_.now() + backoff_after(failures_ - 1));
   };
 }
 
-void ReportSender::take_back() {
-  waiting_.insert(waiting_.begin(), under_way_.begin(), under_way_.end());
-  under_way_.clear();
+void ReportSender::requeue_in_flight() {
+  queued_.insert(queued_.begin(), in_flight_.begin(), in_flight_.end());
+  in_flight_.clear();
 }
 
-// Guards against notices told to an address that no longer listens: those out unanswered are told once more,
-// which does no harm, and pauses earned by the old address do not bind the new one.
+// The old address may no longer listen: unanswered reports are sent again, which is harmless, and the backoff
+// earned by the old address does not apply to the new one.
 void ReportSender::set_agent(const Address& agent) {
-  asker_.set_agent(agent);
-  take_back();
-  again_.clear();
+  client_.set_agent(agent);
+  requeue_in_flight();
+  retry_timer_.clear();
   failures_ = 0;
   send();
 }
@@ -155,21 +152,21 @@
 void ReportSender::report(DocId doc, const std::string& id, bool rejected, Millis wait) {
   nlohmann::json line{{"id", id}, {"status", rejected ? "deferred" : "undeliverable"}};
   if (rejected && wait > 0) line["again_ms"] = static_cast<std::int64_t>(std::ceil(wait));
-  waiting_.push_back({doc, line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n"});
+  queued_.push_back({doc, line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + "\n"});
   if (failures_ == 0) send();
 }
 
 void ReportSender::send() {
-  if (asker_.in_flight() || waiting_.empty()) return;
-  auto count = std::min(waiting_.size(), notices_at_once);
-  auto end = waiting_.begin() + static_cast<std::ptrdiff_t>(count);
-  under_way_.assign(std::make_move_iterator(waiting_.begin()), std::make_move_iterator(end));
-  waiting_.erase(waiting_.begin(), end);
+  if (client_.in_flight() || queued_.empty()) return;
+  auto count = std::min(queued_.size(), max_reports_per_request);
+  auto end = queued_.begin() + static_cast<std::ptrdiff_t>(count);
+  in_flight_.assign(std::make_move_iterator(queued_.begin()), std::make_move_iterator(end));
+  queued_.erase(queued_.begin(), end);
   std::string body;
-  for (const auto& notice : under_way_) body += notice.line;
-  asker_.send_request("POST /reports HTTP/1.1\r\nHost: agent\r\nContent-Length: " +
-                          std::to_string(body.size()) + "\r\n\r\n" + body,
-                      std::min(answer_within, std::ldexp(notice_within, failures_)));
+  for (const auto& report : in_flight_) body += report.line;
+  client_.send_request("POST /reports HTTP/1.1\r\nHost: agent\r\nContent-Length: " +
+                           std::to_string(body.size()) + "\r\n\r\n" + body,
+                       std::min(response_timeout, std::ldexp(report_timeout, failures_)));
 }
 
 }  // namespace rockcrank
--- a/src/relay/discovery.h
+++ b/src/relay/discovery.h
@@ -1,6 +1,6 @@
-// Owns the talk with the platform's agent: the watch of the list of endpoints and the notices of documents
-// that ended undelivered, each on a connection of its own. It must never decide when to follow the list or to
-// try again: it reports a failure and is told.
+// The clients of the platform's agent: a long-poll watch of the endpoint list, and reports on documents that
+// ended undelivered, each on a connection of its own. When to start the watch and how long to back off is
+// decided by the callers.
 #pragma once
 
 #include <cstdint>
@@ -16,70 +16,73 @@
 
 namespace rockcrank {
 
-// One request after another on one kept connection to the agent.
+// Sends one HTTP request at a time to the agent over a persistent connection.
 class AgentClient {
  public:
   AgentClient(EventLoop& loop, const Address& agent)
       : loop_(loop), agent_(agent), timer_(loop, [this] { fail(); }) {}
-  std::function<void(const HttpResponse&)> on_response;  // may ask again
+  std::function<void(const HttpResponse&)> on_response;  // may send the next request
   std::function<void()> on_failure;
-  void send_request(std::string request, Millis within);
-  void set_agent(const Address& agent);  // what was asked of the old one is asked no more
-  bool in_flight() const { return asking_; }
-  Millis elapsed() const { return loop_.now() - asked_at_; }  // since the last request was asked
+  void send_request(std::string request, Millis timeout);
+  void set_agent(const Address& agent);  // drops the request in flight
+  bool in_flight() const { return in_flight_; }
+  Millis elapsed() const { return loop_.now() - sent_at_; }  // since the last request was sent
 
  private:
-  void open();
-  void read(bool ended);
+  void connect();
+  void handle_data(bool closed);
   void fail();
-  void drop();
+  void close_connection();
 
   EventLoop& loop_;
   Address agent_;
   Timer timer_;
   std::unique_ptr<Stream> stream_;
   std::string request_;
-  Millis asked_at_ = 0, until_ = 0;
-  bool asking_ = false, kept_ = false;
+  Millis sent_at_ = 0, deadline_ = 0;
+  bool in_flight_ = false, reused_connection_ = false;
 };
 
+// Follows the endpoint list by long polling (GET /v1/servers).
 class EndpointListWatch {
  public:
   EndpointListWatch(EventLoop& loop, const Address& agent);
-  std::function<bool(std::string_view body)> on_list;  // takes in an answer; false: it cannot be read
-  std::function<void(bool turned_away, Millis took)> on_failure;  // since its call was asked
-  std::function<std::int64_t()> version;                          // of the list held; negative: none
-  // So long for each answer, also where nothing changes; given up when it is so late.
-  void start(Millis wait, Millis late);
-  void set_agent(const Address& agent);  // followed there at once, from the version held
+  std::function<bool(std::string_view body)> on_list;                // false: the body is malformed
+  std::function<void(bool turned_away, Millis elapsed)> on_failure;  // since the request
+  std::function<std::int64_t()> version;                             // of the current list; negative: none
+  // wait: how long the agent may hold a request while nothing changes; timeout: beyond that, or for a full
+  // list.
+  void start(Millis wait, Millis timeout);
+  void set_agent(const Address& agent);  // continues there at once from the current version
 
  private:
-  void next();
-  AgentClient asker_;
-  Millis wait_ = 0, late_ = 0;
-  bool going_ = false;  // the agent has answered, and is asked on at once
+  void poll();
+  AgentClient client_;
+  Millis wait_ = 0, timeout_ = 0;
+  bool has_answered_ = false;  // since start()
 };
 
+// Reports documents that ended undelivered (POST /reports) until the agent acknowledges them.
 class ReportSender {
  public:
   ReportSender(EventLoop& loop, const Address& agent);
   std::function<void(DocId)> on_acknowledged;
-  std::function<Millis(int)> backoff_after;  // so many failures in a row
+  std::function<Millis(int)> backoff_after;  // by the number of consecutive failures
   void report(DocId doc, const std::string& id, bool rejected, Millis wait);
-  void set_agent(const Address& agent);  // all not yet taken is told there at once
-  bool all_acknowledged() const { return waiting_.empty() && under_way_.empty(); }
+  void set_agent(const Address& agent);  // sends all unacknowledged reports there at once
+  bool all_acknowledged() const { return queued_.empty() && in_flight_.empty(); }
 
  private:
-  struct Notice {
+  struct Report {
     DocId doc{};
     std::string line;
   };
   void send();
-  void take_back();
+  void requeue_in_flight();
   EventLoop& loop_;
-  AgentClient asker_;
-  Timer again_;
-  std::vector<Notice> waiting_, under_way_;
+  AgentClient client_;
+  Timer retry_timer_;
+  std::vector<Report> queued_, in_flight_;
   int failures_ = 0;
 };
 
--- a/src/relay/files.h
+++ b/src/relay/files.h
@@ -1,4 +1,4 @@
-// Owns the one loop by which bytes are written to a file's end. It must never open, name or repair a file.
+// File output shared by the stores.
 #pragma once
 
 #include <unistd.h>
@@ -8,7 +8,7 @@
 
 namespace rockcrank {
 
-// False: not all of it is there, and errno says why.
+// Writes all bytes, retrying partial and interrupted writes. On false, some may be missing and errno is set.
 inline bool write_all(int fd, std::string_view bytes) {
   while (!bytes.empty()) {
     auto count = ::write(fd, bytes.data(), bytes.size());
--- a/src/relay/handover.h
+++ b/src/relay/handover.h
@@ -1,7 +1,6 @@
-// Owns the talk between a relay and the process that takes its place: over a Unix socket in the state folder
-// the old one gives away all it holds in one piece, descriptors included, and ends; or goes on as if nobody
-// had asked. It must never decide who owns a document: the lock on the store's file does, and it travels
-// along.
+// Hot restart: over a Unix socket in the state folder the old process passes its whole state and its
+// descriptors (SCM_RIGHTS) to the new one and exits. If the handover fails it goes on serving. The lock on
+// the store's file decides which process owns the documents; its descriptor is passed along.
 #pragma once
 
 #include <functional>
@@ -16,19 +15,18 @@
 
 struct HandoverPayload {
   std::string state;
-  std::vector<int> descriptors;  // the receiver's own, named in the text by their places here
-  int take_descriptor(
-      std::size_t place);  // one of them, which is its taker's then; throws where there is none
-  void close_unclaimed();  // closes those that nobody took
+  std::vector<int> descriptors;  // the state refers to them by index
+  // Transfers ownership of one descriptor to the caller; throws if there is none or it was taken before.
+  int take_descriptor(std::size_t index);
+  void close_unclaimed();
 };
 
-// The old side: listens for a successor.
+// The old process: listens for the new one.
 class HandoverServer : public EventHandler {
  public:
-  // Tells what to give to one whose documents, kinds and halls are numbered as `numbering` says; none:
-  // nothing.
-  std::function<std::optional<HandoverPayload>(const std::string& numbering)> make_payload;
-  std::function<void()> on_complete;  // all was taken: from now on nothing here is this process's
+  // Makes the payload for a process whose ids of destination kinds and zones have this hash; none: refuse.
+  std::function<std::optional<HandoverPayload>(const std::string& numbering_hash)> make_payload;
+  std::function<void()> on_complete;  // the new process owns everything from now on
 
   HandoverServer(EventLoop& loop, const std::string& folder);
   ~HandoverServer() override;
@@ -37,14 +35,14 @@
 
  private:
   void ready(short events) override;
-  void give(int fd);
+  void hand_over(int fd);
 
   EventLoop& loop_;
   const std::string folder_;
   int fd_ = -1;
 };
 
-// The new side: one try to take over from whoever listens in the folder.
+// The new process: one attempt to take over from the process that listens in the folder.
 class HandoverClient {
  public:
   explicit HandoverClient(const std::string& folder) : folder_(folder) {}
@@ -52,9 +50,10 @@
   HandoverClient(const HandoverClient&) = delete;
   HandoverClient& operator=(const HandoverClient&) = delete;
 
-  std::optional<HandoverPayload> request(
-      const std::string& numbering);  // none: nobody there, or it gave nothing
-  bool confirm();                     // all that was given can be used; true: it is this process's now
+  // None: no process listens there, or it refused.
+  std::optional<HandoverPayload> request(const std::string& numbering_hash);
+  // Accepts the payload; true: this process owns everything now.
+  bool confirm();
   void close();
 
  private:
--- a/src/relay/http.h
+++ b/src/relay/http.h
@@ -1,6 +1,5 @@
-// Owns the reading of HTTP/1.1 answers, for every party that speaks it. An answer is slices of the buffer
-// given; only a body that came in chunks is put together. It must never open a connection nor judge what an
-// answer means.
+// An HTTP/1.1 response parser without I/O. A parsed response refers to the caller's buffer; only a chunked
+// body is copied.
 #pragma once
 
 #include <cstddef>
@@ -14,18 +13,18 @@
 struct HttpResponse {
   enum class State { partial, complete, malformed };
   State state = State::partial;
-  int status = 0;  // known before the whole is there, once the first line is
+  int status = 0;  // set as soon as the status line is parsed
   std::vector<std::pair<std::string_view, std::string_view>> headers;
-  std::string_view body_slice;  // the body, unless it came in chunks
+  std::string_view body_slice;  // the body, unless it is chunked
   std::string chunked_body;
-  std::size_t size = 0;            // bytes of the buffer it took
-  bool closes_connection = false;  // the connection carries nothing after it
+  std::size_t size = 0;            // bytes consumed from the buffer
+  bool closes_connection = false;  // the connection cannot be reused
 
   std::string_view body() const { return chunked_body.empty() ? body_slice : std::string_view(chunked_body); }
-  std::string_view header(std::string_view name) const;
+  std::string_view header(std::string_view name) const;  // case-insensitive; empty if absent
 };
 
-// Reads the answer at the front of the buffer. An answer without a length ends with its connection.
-HttpResponse parse_response(std::string_view buffer, std::size_t body_most, bool connection_ended);
+// Parses the response at the start of the buffer. A response without a length ends with its connection.
+HttpResponse parse_response(std::string_view buffer, std::size_t max_body_bytes, bool connection_closed);
 
 }  // namespace rockcrank
--- a/src/relay/log.cpp
+++ b/src/relay/log.cpp
@@ -1,5 +1,3 @@
-// The one function that logs; log.h says what it owns. It must never fail or block for long.
-
 #include "relay/log.h"
 
 #include <chrono>
@@ -9,7 +7,7 @@
 namespace rockcrank {
 
 void log_line(const char* format, ...) {
-  constexpr int lines_a_second = 50;
+  constexpr int max_lines_per_second = 50;
   static std::chrono::steady_clock::time_point second{};
   static int written = 0, dropped = 0;
   auto now = std::chrono::steady_clock::now();
@@ -17,11 +15,11 @@
     if (dropped > 0) std::fprintf(stderr, "rockcrank: %d lines dropped\n", dropped);
     second = now, written = dropped = 0;
   }
-  if (++written > lines_a_second) {
+  if (++written > max_lines_per_second) {
     ++dropped;
     return;
   }
-  char line[1600];  // a line of metrics is the longest
+  char line[1600];  // fits the longest line, which is the metrics line
   va_list values;
   va_start(values, format);
   std::vsnprintf(line, sizeof line, format, values);
--- a/src/relay/log.h
+++ b/src/relay/log.h
@@ -1,5 +1,5 @@
-// Owns the relay's log: one line a call on standard error, rate-limited so that a storm of lines cannot stall
-// the loop. It must never be the way in which anything else learns what happened.
+// The relay's log: one line per call on standard error, rate-limited so that a burst cannot stall the event
+// loop.
 #pragma once
 
 namespace rockcrank {
--- a/src/relay/loop.cpp
+++ b/src/relay/loop.cpp
@@ -1,5 +1,4 @@
-// poll(2), timers, streams, listener and signals; loop.h says what they own. Every descriptor is opened by
-// one object here and closed by the same; nothing here may look into the bytes.
+// Each descriptor is closed by the object that opened it or was given it.
 
 #include "relay/loop.h"
 
@@ -22,6 +21,13 @@
 namespace rockcrank {
 namespace {
 
+constexpr int listen_backlog = 512;
+constexpr Millis max_poll_timeout = 60000;
+constexpr int max_reads_per_event = 4, max_accepts_per_event = 64;
+constexpr Millis accept_retry_delay = 20;
+constexpr std::size_t max_retained_capacity = 4096;     // bytes, of an empty buffer
+constexpr std::size_t compaction_threshold = 64 << 10;  // consumed bytes at the front of a buffer
+
 sockaddr_in to_sockaddr(const Address& address) {
   sockaddr_in to{};
   to.sin_family = AF_INET;
@@ -31,11 +37,12 @@
   return to;
 }
 
-int listening_at(const Address& at) {
+int open_listening_socket(const Address& at) {
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0), on = 1;
   auto to = to_sockaddr(at);
   if (fd >= 0) setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (fd < 0 || bind(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) != 0 || listen(fd, 512) != 0) {
+  if (fd < 0 || bind(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) != 0 ||
+      listen(fd, listen_backlog) != 0) {
     std::string why = std::strerror(errno);
     if (fd >= 0) ::close(fd);
     throw std::runtime_error("cannot listen on " + at.host + ":" + std::to_string(at.port) + ": " + why);
@@ -43,28 +50,26 @@
   return fd;
 }
 
-// A descriptor of its own on a socket that others have too. Guards against a relay that is given up before it
-// served: the socket that was passed must be there for the next one. And against a loop that waits in
-// accept() for a connection that another process took first.
-int shared(int listening_fd) {
+// Duplicates a listening socket that other processes share. If this relay fails before it serves, the
+// original must still be open for the next one. Non-blocking, so that the loop does not wait in accept() for
+// a connection that another process has accepted first.
+int duplicate_listening_socket(int listening_fd) {
   int flags = fcntl(listening_fd, F_GETFL);
   if (flags >= 0 && fcntl(listening_fd, F_SETFL, flags | O_NONBLOCK) == 0)
     if (int fd = fcntl(listening_fd, F_DUPFD_CLOEXEC, 3); fd >= 0) return fd;
-  throw std::runtime_error("the passed socket is of no use: " + std::string(std::strerror(errno)));
+  throw std::runtime_error("cannot use the inherited listening socket: " + std::string(std::strerror(errno)));
 }
 
-constexpr std::size_t kept_most = 4096;  // of an empty buffer
-
-volatile sig_atomic_t signal_end = -1;  // a handler reaches nothing but what is static
+volatile sig_atomic_t signal_pipe_end = -1;  // a signal handler can only use static data
 
 void on_signal(int number) {
-  int kept = errno;
+  int saved_errno = errno;
   char byte = static_cast<char>(number);
-  [[maybe_unused]] auto written = ::write(signal_end, &byte, 1);
-  errno = kept;
+  [[maybe_unused]] auto written = ::write(signal_pipe_end, &byte, 1);
+  errno = saved_errno;
 }
 
-void mask_reload(int how) {
+void set_reload_mask(int how) {
   sigset_t reload;
   sigemptyset(&reload);
   sigaddset(&reload, SIGHUP);
@@ -88,15 +93,15 @@
   return address;
 }
 
-EventLoop::EventLoop() { refresh(); }
+EventLoop::EventLoop() { update_now(); }
 
-// Set once for each process, from the clock that nobody sets: a wall clock that is stepped while the process
-// runs moves no deadline, window or wait, which are spans of real time.
+// The offset from the monotonic clock is read once per process: stepping the system clock later must not move
+// deadlines, windows and waits, which are spans of real time.
 Millis EventLoop::wall_time() {
-  static const Millis ahead =
+  static const Millis offset =
       std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch()).count() -
       monotonic_time();
-  return monotonic_time() + ahead;
+  return monotonic_time() + offset;
 }
 
 Millis EventLoop::monotonic_time() {
@@ -104,63 +109,65 @@
       .count();
 }
 
-void EventLoop::refresh() { now_ = monotonic_time(); }
+void EventLoop::update_now() { now_ = monotonic_time(); }
 
 void EventLoop::add(int fd, short events, EventHandler* handler) {
-  places_[fd] = polled_.size();
-  polled_.push_back({fd, events, 0});
+  index_by_fd_[fd] = pollfds_.size();
+  pollfds_.push_back({fd, events, 0});
   handlers_.push_back(handler);
 }
 
 void EventLoop::change(int fd, short events) {
-  if (auto found = places_.find(fd); found != places_.end()) polled_[found->second].events = events;
+  if (auto found = index_by_fd_.find(fd); found != index_by_fd_.end())
+    pollfds_[found->second].events = events;
 }
 
 void EventLoop::remove(int fd) {
-  auto found = places_.find(fd);
-  if (found == places_.end()) return;
-  polled_[found->second].fd = -1;  // swept out after the round
+  auto found = index_by_fd_.find(fd);
+  if (found == index_by_fd_.end()) return;
+  pollfds_[found->second].fd = -1;  // erased at the end of the iteration
   handlers_[found->second] = nullptr;
-  places_.erase(found);
+  index_by_fd_.erase(found);
 }
 
 void EventLoop::run() {
   running_ = true;
   while (running_) {
-    refresh();
+    update_now();
     int timeout = -1;
     if (!timers_.empty())
-      timeout = static_cast<int>(std::clamp(std::ceil(timers_.begin()->first.first - now_), 0.0, 60000.0));
-    int count = poll(polled_.data(), polled_.size(), timeout);
-    refresh();
-    std::size_t known = polled_.size();
+      timeout =
+          static_cast<int>(std::clamp(std::ceil(timers_.begin()->first.first - now_), 0.0, max_poll_timeout));
+    int count = poll(pollfds_.data(), pollfds_.size(), timeout);
+    update_now();
+    std::size_t known = pollfds_.size();
     for (std::size_t i = 0; count > 0 && i < known && running_; ++i) {
-      if (polled_[i].revents == 0 || !handlers_[i]) continue;
-      handlers_[i]->ready(polled_[i].revents);
+      if (pollfds_[i].revents == 0 || !handlers_[i]) continue;
+      handlers_[i]->ready(pollfds_[i].revents);
     }
-    auto last = timer_number_;
+    auto last = last_timer_id_;
     while (running_ && !timers_.empty() && timers_.begin()->first.first <= now_ &&
            timers_.begin()->first.second <= last) {
       Timer* timer = timers_.begin()->second;
       timer->clear();
-      timer->due_();
+      timer->callback_();
     }
     std::size_t kept = 0;
-    for (std::size_t i = 0; i < polled_.size(); ++i) {
-      if (polled_[i].fd < 0) continue;
-      polled_[kept] = polled_[i], handlers_[kept] = handlers_[i];
-      polled_[kept].revents = 0;
-      places_[polled_[kept].fd] = kept;
+    for (std::size_t i = 0; i < pollfds_.size(); ++i) {
+      if (pollfds_[i].fd < 0) continue;
+      pollfds_[kept] = pollfds_[i], handlers_[kept] = handlers_[i];
+      pollfds_[kept].revents = 0;
+      index_by_fd_[pollfds_[kept].fd] = kept;
       ++kept;
     }
-    polled_.resize(kept), handlers_.resize(kept);
-    buried_.clear();
+    pollfds_.resize(kept), handlers_.resize(kept);
+    deferred_deletes_.clear();
   }
 }
 
 void Timer::set(Millis when) {
   clear();
-  key_ = {when, ++loop_.timer_number_};
+  key_ = {when, ++loop_.last_timer_id_};
   loop_.timers_[key_] = this;
 }
 
@@ -175,31 +182,31 @@
   loop_.add(fd_, POLLIN, this);
 }
 
-Stream::Stream(EventLoop& loop, Snapshot kept)
+Stream::Stream(EventLoop& loop, Snapshot snapshot)
     : loop_(loop),
-      fd_(kept.fd),
-      state_(kept.connecting ? State::connecting : State::connected),
-      in_(std::move(kept.unconsumed)),
-      out_(std::move(kept.unsent)) {
+      fd_(snapshot.fd),
+      state_(snapshot.connecting ? State::connecting : State::connected),
+      input_(std::move(snapshot.unconsumed)),
+      output_(std::move(snapshot.unsent)) {
   loop_.add(fd_, POLLIN, this);
-  want();
+  update_events();
 }
 
 Stream::Stream(EventLoop& loop, const Address& to) : loop_(loop) {
   fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd_ < 0) {
-    lacks_descriptor_ = true, state_ = State::closed;
+    out_of_resources_ = true, state_ = State::closed;
     return;
   }
   int on = 1;
   setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   auto at = to_sockaddr(to);
-  // A connect that is interrupted goes on by itself, as one that is in progress.
-  bool goes_on = connect(fd_, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0 || errno == EINPROGRESS ||
-                 errno == EINTR;
-  if (!goes_on) {
-    // No port or no memory is free here: not the other side's doing.
-    lacks_descriptor_ = errno == EADDRNOTAVAIL || errno == EAGAIN || errno == ENOBUFS || errno == ENOMEM;
+  // An interrupted connect() continues in the background, like one in progress.
+  bool in_progress = connect(fd_, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0 || errno == EINPROGRESS ||
+                     errno == EINTR;
+  if (!in_progress) {
+    // This host lacks ports or memory; the peer is not at fault.
+    out_of_resources_ = errno == EADDRNOTAVAIL || errno == EAGAIN || errno == ENOBUFS || errno == ENOMEM;
     ::close(std::exchange(fd_, -1));
     state_ = State::closed;
     return;
@@ -217,17 +224,17 @@
   state_ = State::closed;
 }
 
-void Stream::want() {
+void Stream::update_events() {
   if (fd_ < 0) return;
   short events = 0;
-  if (state_ == State::connecting || !out_.empty()) events |= POLLOUT;
+  if (state_ == State::connecting || !output_.empty()) events |= POLLOUT;
   if (state_ == State::connected && reading_) events |= POLLIN;
   loop_.change(fd_, events);
 }
 
-void Stream::enable_reading(bool wanted) {
-  reading_ = wanted;
-  want();
+void Stream::enable_reading(bool enabled) {
+  reading_ = enabled;
+  update_events();
 }
 
 bool Stream::has_no_pending_input() const {
@@ -237,78 +244,79 @@
 }
 
 void Stream::read_now() {
-  if (state_ == State::connected && reading_) read_some();
+  if (state_ == State::connected && reading_) read_available();
 }
 
 void Stream::consume(std::size_t count) {
   consumed_ += count;
-  // Guards against memory that idle connections keep: a buffer that has grown is given back once it is empty.
-  if (consumed_ == in_.size() && in_.capacity() > kept_most) std::string().swap(in_), consumed_ = 0;
-  else if (consumed_ == in_.size()) in_.clear(), consumed_ = 0;
-  else if (consumed_ > 65536) in_.erase(0, std::exchange(consumed_, 0));
+  // Frees a grown buffer once it is empty, so that idle connections hold no memory.
+  if (consumed_ == input_.size() && input_.capacity() > max_retained_capacity)
+    std::string().swap(input_), consumed_ = 0;
+  else if (consumed_ == input_.size()) input_.clear(), consumed_ = 0;
+  else if (consumed_ > compaction_threshold) input_.erase(0, std::exchange(consumed_, 0));
 }
 
 void Stream::send(std::string_view bytes) {
   if (state_ == State::closed) return;
-  out_.append(bytes);
-  if (state_ == State::connected && !write_some()) return;  // the break is met when the loop reads
-  want();
+  output_.append(bytes);
+  if (state_ == State::connected && !flush()) return;  // the error surfaces at the next read
+  update_events();
 }
 
-bool Stream::write_some() {
+bool Stream::flush() {
   std::size_t written = 0;
-  while (written < out_.size()) {
-    auto count = ::send(fd_, out_.data() + written, out_.size() - written, MSG_NOSIGNAL);
+  while (written < output_.size()) {
+    auto count = ::send(fd_, output_.data() + written, output_.size() - written, MSG_NOSIGNAL);
     if (count < 0 && errno == EINTR) continue;
     if (count <= 0) {
-      bool later = count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == ENOBUFS);
-      out_.erase(0, written);
-      return later;
+      bool retry = count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == ENOBUFS);
+      output_.erase(0, written);
+      return retry;
     }
     written += static_cast<std::size_t>(count);
   }
-  if (out_.capacity() > kept_most) std::string().swap(out_);
-  else out_.clear();
+  if (output_.capacity() > max_retained_capacity) std::string().swap(output_);
+  else output_.clear();
   return true;
 }
 
-void Stream::read_some() {
-  char piece[16384];
+void Stream::read_available() {
+  char chunk[16384];
   bool any = false;
-  for (int round = 0; round < 4; ++round) {
-    auto count = ::recv(fd_, piece, sizeof piece, 0);
+  for (int round = 0; round < max_reads_per_event; ++round) {
+    auto count = ::recv(fd_, chunk, sizeof chunk, 0);
     if (count < 0 && errno == EINTR) continue;
     if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
     if (count <= 0) {
       // What came before the end is still handed on; the callback may close this stream.
       if (any && on_data) on_data();
       if (fd_ < 0) return;
-      if (count < 0 || !on_half_close) return ended();
+      if (count < 0 || !on_half_close) return handle_close();
       enable_reading(false);
       return on_half_close();
     }
-    if (finishing_) continue;
-    in_.append(piece, static_cast<std::size_t>(count));
+    if (closing_gracefully_) continue;
+    input_.append(chunk, static_cast<std::size_t>(count));
     any = true;
-    if (static_cast<std::size_t>(count) < sizeof piece) break;
+    if (static_cast<std::size_t>(count) < sizeof chunk) break;
   }
   if (any && on_data) on_data();
 }
 
 void Stream::close_gracefully() {
-  if (fd_ < 0 || std::exchange(finishing_, true)) return;
+  if (fd_ < 0 || std::exchange(closing_gracefully_, true)) return;
   on_half_close = nullptr;
   enable_reading(true);
-  finish_sending();
+  shutdown_write_when_flushed();
 }
 
-// Guards against losing an answer just given: a close with unread bytes would reset the connection. What
-// still comes is read and dropped.
-void Stream::finish_sending() {
-  if (finishing_ && out_.empty() && fd_ >= 0) shutdown(fd_, SHUT_WR);
+// close() with unread input would reset the connection and could lose the response just sent, so only sending
+// is shut down; further input is read and dropped.
+void Stream::shutdown_write_when_flushed() {
+  if (closing_gracefully_ && output_.empty() && fd_ >= 0) shutdown(fd_, SHUT_WR);
 }
 
-void Stream::ended() {
+void Stream::handle_close() {
   close();
   if (on_close) on_close();
 }
@@ -318,35 +326,35 @@
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0 || (events & (POLLERR | POLLNVAL))) return ended();
+    if (error != 0 || (events & (POLLERR | POLLNVAL))) return handle_close();
     state_ = State::connected;
     if (on_connected) on_connected();
     if (state_ != State::connected) return;
-    if (!write_some()) return ended();
-    return want();
+    if (!flush()) return handle_close();
+    return update_events();
   }
-  if ((events & POLLOUT) && !write_some()) return ended();
-  finish_sending();
-  want();
-  if ((events & POLLOUT) && out_.empty() && on_drain) on_drain();
+  if ((events & POLLOUT) && !flush()) return handle_close();
+  shutdown_write_when_flushed();
+  update_events();
+  if ((events & POLLOUT) && output_.empty() && on_drain) on_drain();
   if (fd_ < 0) return;
   if (events & (POLLIN | POLLHUP | POLLERR | POLLNVAL)) {
-    if (!reading_ && (events & (POLLHUP | POLLERR | POLLNVAL))) return ended();
-    if (reading_) read_some();
+    if (!reading_ && (events & (POLLHUP | POLLERR | POLLNVAL))) return handle_close();
+    if (reading_) read_available();
   }
 }
 
-Listener::Listener(EventLoop& loop, const Address& at, std::function<void(int)> taken)
-    : Listener(loop, std::move(taken), listening_at(at)) {}
+Listener::Listener(EventLoop& loop, const Address& address, std::function<void(int)> on_accept)
+    : Listener(loop, std::move(on_accept), open_listening_socket(address)) {}
 
-Listener::Listener(EventLoop& loop, int listening_fd, std::function<void(int)> taken)
-    : Listener(loop, std::move(taken), shared(listening_fd)) {}
+Listener::Listener(EventLoop& loop, int listening_fd, std::function<void(int)> on_accept)
+    : Listener(loop, std::move(on_accept), duplicate_listening_socket(listening_fd)) {}
 
-Listener::Listener(EventLoop& loop, std::function<void(int)> taken, int own_fd)
+Listener::Listener(EventLoop& loop, std::function<void(int)> on_accept, int own_fd)
     : loop_(loop),
       fd_(own_fd),
-      taken_(std::move(taken)),
-      again_(loop, [this] { loop_.change(fd_, paused_ ? 0 : POLLIN); }) {
+      on_accept_(std::move(on_accept)),
+      retry_timer_(loop, [this] { loop_.change(fd_, paused_ ? 0 : POLLIN); }) {
   loop_.add(fd_, POLLIN, this);
 }
 
@@ -361,26 +369,26 @@
 }
 
 void Listener::ready(short) {
-  for (int round = 0; round < 64 && !paused_; ++round) {
+  for (int round = 0; round < max_accepts_per_event && !paused_; ++round) {
     int fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
-      taken_(fd);
+      on_accept_(fd);
       continue;
     }
     if (errno == EINTR || errno == ECONNABORTED) continue;
     if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
-      // Guards against a spinning loop: the queue stays readable while no descriptor is free.
+      // The backlog stays readable while no descriptor is free; polling it would spin the loop.
       loop_.change(fd_, 0);
-      again_.set(loop_.now() + 20);
+      retry_timer_.set(loop_.now() + accept_retry_delay);
     }
     return;
   }
 }
 
-Signals::Signals(EventLoop& loop, std::function<void()> asked_to_end, std::function<void()> asked_to_read)
-    : loop_(loop), asked_to_end_(std::move(asked_to_end)), asked_to_read_(std::move(asked_to_read)) {
-  if (pipe2(ends_, O_NONBLOCK | O_CLOEXEC) != 0) throw std::runtime_error("cannot make a pipe");
-  signal_end = ends_[1];
+Signals::Signals(EventLoop& loop, std::function<void()> on_terminate, std::function<void()> on_reload)
+    : loop_(loop), on_terminate_(std::move(on_terminate)), on_reload_(std::move(on_reload)) {
+  if (pipe2(pipe_, O_NONBLOCK | O_CLOEXEC) != 0) throw std::runtime_error("cannot make a pipe");
+  signal_pipe_end = pipe_[1];
   struct sigaction action {};
   action.sa_handler = on_signal;
   sigaction(SIGTERM, &action, nullptr);
@@ -388,32 +396,32 @@
   sigaction(SIGHUP, &action, nullptr);
   signal(SIGPIPE, SIG_IGN);
   signal(SIGXFSZ, SIG_IGN);
-  loop_.add(ends_[0], POLLIN, this);
+  loop_.add(pipe_[0], POLLIN, this);
 }
 
 Signals::~Signals() {
-  // Guards against a further signal to end that kills a process which ends in order already.
-  auto from_now = ending_ ? SIG_IGN : SIG_DFL;
-  signal(SIGTERM, from_now);
-  signal(SIGINT, from_now);
-  signal(SIGHUP, SIG_IGN);  // one that comes as the relay ends must not spoil its end
-  loop_.remove(ends_[0]);
-  ::close(ends_[0]), ::close(ends_[1]);
+  // A second termination signal must not kill a process that is already shutting down.
+  auto disposition = terminating_ ? SIG_IGN : SIG_DFL;
+  signal(SIGTERM, disposition);
+  signal(SIGINT, disposition);
+  signal(SIGHUP, SIG_IGN);  // a reload during shutdown is ignored
+  loop_.remove(pipe_[0]);
+  ::close(pipe_[0]), ::close(pipe_[1]);
 }
 
-// Guards against a SIGHUP that comes between the reading of the configuration and the first round: it would
-// end the process, or be lost with the new configuration.
-void Signals::block_reload() { mask_reload(SIG_BLOCK); }
+// A SIGHUP between reading the configuration and the first loop iteration would kill the process, or the new
+// configuration would be missed.
+void Signals::block_reload() { set_reload_mask(SIG_BLOCK); }
 
-void Signals::unblock_reload() { mask_reload(SIG_UNBLOCK); }
+void Signals::unblock_reload() { set_reload_mask(SIG_UNBLOCK); }
 
 void Signals::ready(short) {
   char bytes[16];
-  auto count = ::read(ends_[0], bytes, sizeof bytes);
-  bool read_again = false, end = false;
-  for (ssize_t i = 0; i < count; ++i) (bytes[i] == SIGHUP ? read_again : end) = true;
-  if (read_again) asked_to_read_();
-  if (end) set_terminating(), asked_to_end_();
+  auto count = ::read(pipe_[0], bytes, sizeof bytes);
+  bool reload = false, terminate = false;
+  for (ssize_t i = 0; i < count; ++i) (bytes[i] == SIGHUP ? reload : terminate) = true;
+  if (reload) on_reload_();
+  if (terminate) set_terminating(), on_terminate_();
 }
 
 }  // namespace rockcrank
--- a/src/relay/loop.h
+++ b/src/relay/loop.h
@@ -1,5 +1,5 @@
-// Owns the one loop: poll(2) over descriptors and a queue of timers, and the byte streams on them. It knows
-// nothing of protocols and must never block, decide what is sent, or be entered from a callback.
+// A single-threaded event loop on poll(2) with timers, and the TCP streams, listeners and signals that run on
+// it. It knows no protocols and never blocks. run() must not be called from a callback.
 #pragma once
 
 #include <poll.h>
@@ -17,6 +17,7 @@
 
 namespace rockcrank {
 
+// Receives the poll(2) events of a descriptor.
 class EventHandler {
  public:
   virtual ~EventHandler() = default;
@@ -26,39 +27,40 @@
 class EventLoop {
  public:
   EventLoop();
-  Millis now() const { return now_; }  // monotonic, as of this round
-  static Millis wall_time();           // Unix time, as it was set when the process began
-  static Millis monotonic_time();      // at this moment
+  Millis now() const { return now_; }  // monotonic, cached for this iteration
+  static Millis wall_time();           // Unix time, by the system clock as read at process start
+  static Millis monotonic_time();      // read now, not cached
   void run();
   void stop() { running_ = false; }
 
   void add(int fd, short events, EventHandler* handler);
   void change(int fd, short events);
   void remove(int fd);
-  // Whatever must not be freed inside its own callback lives until the end of the round.
+  // Deletes an object at the end of the iteration, so that it may be dropped inside its own callback.
   template <typename Thing>
   void defer_delete(std::unique_ptr<Thing> thing) {
-    buried_.push_back(std::shared_ptr<void>(std::move(thing)));
+    deferred_deletes_.push_back(std::shared_ptr<void>(std::move(thing)));
   }
 
  private:
   friend class Timer;
-  using Due = std::pair<Millis, std::uint64_t>;
-  void refresh();
+  using TimerKey = std::pair<Millis, std::uint64_t>;  // due time, timer id
+  void update_now();
 
-  std::vector<pollfd> polled_;
+  std::vector<pollfd> pollfds_;
   std::vector<EventHandler*> handlers_;
-  std::map<int, std::size_t> places_;
-  std::map<Due, class Timer*> timers_;
-  std::vector<std::shared_ptr<void>> buried_;
-  std::uint64_t timer_number_ = 0;
+  std::map<int, std::size_t> index_by_fd_;
+  std::map<TimerKey, class Timer*> timers_;
+  std::vector<std::shared_ptr<void>> deferred_deletes_;
+  std::uint64_t last_timer_id_ = 0;
   Millis now_ = 0;
   bool running_ = true;
 };
 
+// A one-shot timer. Setting it again replaces the earlier time.
 class Timer {
  public:
-  Timer(EventLoop& loop, std::function<void()> due) : loop_(loop), due_(std::move(due)) {}
+  Timer(EventLoop& loop, std::function<void()> callback) : loop_(loop), callback_(std::move(callback)) {}
   ~Timer() { clear(); }
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
@@ -68,8 +70,8 @@
  private:
   friend class EventLoop;
   EventLoop& loop_;
-  std::function<void()> due_;
-  EventLoop::Due key_{};
+  std::function<void()> callback_;
+  EventLoop::TimerKey key_{};
 };
 
 struct Address {
@@ -79,12 +81,13 @@
 };
 Address parse_address(std::string_view text);  // host:port; throws std::runtime_error
 
-// A non-blocking TCP connection. Its owner frees it, through bury() inside a callback; that closes it.
+// A non-blocking TCP connection. Its owner deletes it, which closes it; inside a callback of the stream this
+// must go through EventLoop::defer_delete().
 class Stream : public EventHandler {
  public:
   enum class State { connecting, connected, closed };
 
-  // A connection that another process gave: what it had read and not used, and had not sent yet.
+  // A connection handed over between processes, with both of its buffers.
   struct Snapshot {
     int fd = -1;
     bool connecting = false;
@@ -92,81 +95,83 @@
   };
 
   Stream(EventLoop& loop, int connected_fd);
-  Stream(EventLoop& loop, Snapshot kept);
-  Stream(EventLoop& loop, const Address& to);  // ended at once where no socket is to be had
+  Stream(EventLoop& loop, Snapshot snapshot);
+  Stream(EventLoop& loop, const Address& to);  // closed from the start if connect() fails at once
   ~Stream() override;
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
   std::function<void()> on_connected;
-  std::function<void()> on_data;   // more was received
-  std::function<void()> on_drain;  // what could not be written at once has gone
-  std::function<void()> on_close;  // the connection broke, or ended; called once
-  // Set: the other side has ended its sending but may still be sent to. Not set: that is an end.
+  std::function<void()> on_data;   // more bytes were received
+  std::function<void()> on_drain;  // bytes that could not be written at once have been written
+  std::function<void()> on_close;  // the connection failed or was closed by the peer; called once
+  // The peer has shut down its sending side and can still receive. If not set, this closes the connection.
   std::function<void()> on_half_close;
 
   State state() const { return state_; }
-  Snapshot snapshot() const { return {fd_, state_ == State::connecting, std::string(received()), out_}; }
-  bool out_of_resources() const { return lacks_descriptor_; }
-  std::string_view received() const { return std::string_view(in_).substr(consumed_); }
-  bool has_no_pending_input() const;  // up, and nothing has come that was not read yet: no bytes, no end
-  void read_now();                    // what has come by now, without waiting for the loop to find it
+  Snapshot snapshot() const { return {fd_, state_ == State::connecting, std::string(received()), output_}; }
+  // The connection could not be opened for lack of local descriptors, ports or memory.
+  bool out_of_resources() const { return out_of_resources_; }
+  std::string_view received() const { return std::string_view(input_).substr(consumed_); }
+  bool has_no_pending_input() const;  // connected, and the socket holds neither unread bytes nor an EOF
+  void read_now();                    // reads what has arrived without waiting for poll
   void consume(std::size_t count);
   void send(std::string_view bytes);
-  std::size_t unsent_bytes() const { return out_.size(); }
-  void enable_reading(bool wanted);  // off: the other side is left to wait
-  void close_gracefully();  // ends its own sending once what is unsent has gone, and itself when the other
-                            // side does
+  std::size_t unsent_bytes() const { return output_.size(); }
+  void enable_reading(bool enabled);  // disabled: TCP flow control slows the peer down
+  // Shuts down sending once everything is written, and closes when the peer does.
+  void close_gracefully();
   void close();
 
  private:
   void ready(short events) override;
-  void read_some();
-  bool write_some();
-  void finish_sending();
-  void ended();
-  void want();
+  void read_available();
+  bool flush();
+  void shutdown_write_when_flushed();
+  void handle_close();
+  void update_events();
 
   EventLoop& loop_;
   int fd_ = -1;
   State state_ = State::connecting;
-  bool lacks_descriptor_ = false, reading_ = true, finishing_ = false;
-  std::string in_, out_;
+  bool out_of_resources_ = false, reading_ = true, closing_gracefully_ = false;
+  std::string input_, output_;
   std::size_t consumed_ = 0;
 };
 
-// Takes connections on one address. Out of descriptors, or told to pause, it leaves them in the queue.
+// Accepts connections on one address. While paused, or out of descriptors, it leaves them in the backlog.
 class Listener : public EventHandler {
  public:
-  Listener(EventLoop& loop, const Address& at, std::function<void(int)> taken);
-  Listener(EventLoop& loop, int listening_fd,
-           std::function<void(int)> taken);  // one that others have, and keep
+  Listener(EventLoop& loop, const Address& address, std::function<void(int)> on_accept);
+  // Duplicates a listening socket that other processes share; the original stays open.
+  Listener(EventLoop& loop, int listening_fd, std::function<void(int)> on_accept);
   ~Listener() override;
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
   void set_paused(bool paused);
 
  private:
-  Listener(EventLoop& loop, std::function<void(int)> taken, int own_fd);
+  Listener(EventLoop& loop, std::function<void(int)> on_accept, int own_fd);
   void ready(short events) override;
 
   EventLoop& loop_;
   int fd_;
   bool paused_ = false;
-  std::function<void(int)> taken_;
-  Timer again_;
+  std::function<void(int)> on_accept_;
+  Timer retry_timer_;
 };
 
-// SIGTERM and SIGINT (to end) and SIGHUP (to read the configuration again), brought into the loop through a
-// pipe; those that a failed write would raise are ignored. One in a process.
+// Delivers SIGTERM and SIGINT (terminate) and SIGHUP (reload the configuration) to the loop through a pipe,
+// and ignores SIGPIPE and SIGXFSZ. One instance per process.
 class Signals : public EventHandler {
  public:
-  Signals(EventLoop& loop, std::function<void()> asked_to_end, std::function<void()> asked_to_read);
-  // SIGHUP waits from hold_back(), to be called before the configuration is read, until listen().
+  Signals(EventLoop& loop, std::function<void()> on_terminate, std::function<void()> on_reload);
+  // SIGHUP stays pending from block_reload(), which is called before the configuration is read, until
+  // unblock_reload().
   static void block_reload();
   void unblock_reload();
-  // From here on the process ends in order; further signals to end change nothing.
-  void set_terminating() { ending_ = true; }
+  // The process is shutting down: after this object is gone, further SIGTERM and SIGINT are ignored.
+  void set_terminating() { terminating_ = true; }
   ~Signals() override;
   Signals(const Signals&) = delete;
   Signals& operator=(const Signals&) = delete;
@@ -175,9 +180,9 @@
   void ready(short events) override;
 
   EventLoop& loop_;
-  std::function<void()> asked_to_end_, asked_to_read_;
-  bool ending_ = false;  // it was asked to end
-  int ends_[2];
+  std::function<void()> on_terminate_, on_reload_;
+  bool terminating_ = false;
+  int pipe_[2];
 };
 
 }  // namespace rockcrank
--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -1,4 +1,4 @@
-// rockcrank: the relay's command line. It must never hold anything that the configuration file tells.
+// rockcrank: the relay's command line. All settings come from the configuration file.
 #include <cstdio>
 #include <cxxopts.hpp>
 #include <exception>
@@ -20,22 +20,21 @@
 
 constexpr const char* usage =
     "usage: rockcrank serve | check | health | metrics | offline ID | online ID | version\n"
-    "  serve    run one relay, as $BALANCER_CONFIG tells; --notes: with short notes to other relays, where "
-    "its\n"
-    "           settings allow them\n"
-    "  check    read the configuration that serve would use, and say what is wrong with it\n"
-    "  health   ask the relay at the second address whether it takes clients\n"
-    "  metrics  ask it for its counts, those of broken rules among them\n"
-    "  offline  have it take the endpoint ID out; online: put it back\n"
-    "           (exit code 0: done, 1: it said error, 3: nobody answers)\n"
+    "  serve    run one relay, configured by the file that $BALANCER_CONFIG names; with --notes it\n"
+    "           exchanges gossip datagrams with other relays, if its settings allow that\n"
+    "  check    check the configuration that serve would use\n"
+    "  health   ask the running relay, at its admin address, whether it accepts clients\n"
+    "  metrics  print its metrics, including counts of violated invariants\n"
+    "  offline  take the endpoint ID out of service; online: put it back\n"
+    "           (exit code 0: done, 1: the relay answered with an error, 3: no answer)\n"
     "  version  print the version\n";
 
-// What a call at the second address answers, as a line and an exit code.
-int call(const std::string& command, const std::string& operand) {
+// Sends one command to the admin address, prints the answer and returns the exit code.
+int run_admin_command(const std::string& command, const std::string& operand) {
   bool named = command != "health" && command != "metrics";
   if (named == operand.empty()) {
     std::fprintf(stderr, "rockcrank: %s takes %s\n%s", command.c_str(),
-                 named ? "an endpoint's id" : "nothing", usage);
+                 named ? "an endpoint id" : "no argument", usage);
     return 2;
   }
   std::string line = command == "health"    ? "HEALTH"
@@ -52,50 +51,52 @@
   }
 }
 
-// With a passed socket and a process before this one, all is taken over from that; where it gives nothing in
-// time, this one serves by itself and waits with its calls for the other's end.
-void serve(const rockcrank::Config& config, bool notes) {
-  constexpr rockcrank::Millis taken_within = 4000, pause = 50;  // the platform wants its yes within 6 s
+// With an inherited socket and a running predecessor, takes over its state. If the predecessor hands over
+// nothing in time, this process serves by itself and holds back its calls until the other has ended.
+void serve(const rockcrank::Config& config, bool gossip_enabled) {
+  constexpr rockcrank::Millis handover_timeout = 4000;  // the platform expects readiness within 6 s
+  constexpr rockcrank::Millis retry_interval = 50;
   rockcrank::EventLoop loop;
   std::unique_ptr<rockcrank::AdminServer> admin;
   if (config.admin.port != 0) admin = std::make_unique<rockcrank::AdminServer>(loop, config.admin);
-  auto until = loop.now() + taken_within;
+  auto until = loop.now() + handover_timeout;
   while (config.inherited_socket >= 0 && loop.now() < until &&
          rockcrank::Store::has_owner(config.state_folder)) {
-    rockcrank::HandoverClient predecessor(config.state_folder);
-    if (auto baggage = predecessor.request(config.numbering_hash)) {
+    rockcrank::HandoverClient handover(config.state_folder);
+    if (auto payload = handover.request(config.numbering_hash)) {
       try {
-        rockcrank::Relay relay(config, loop, admin.get(), &*baggage, notes);
-        baggage->close_unclaimed();
-        if (predecessor.confirm()) return relay.run();
+        rockcrank::Relay relay(config, loop, admin.get(), &*payload, gossip_enabled);
+        payload->close_unclaimed();
+        if (handover.confirm()) return relay.run();
       } catch (const std::exception& error) {
-        baggage->close_unclaimed();
-        rockcrank::log_line("not taken over: %s", error.what());
-        break;  // it would not be readable the next time either
+        payload->close_unclaimed();
+        rockcrank::log_line("handover failed: %s", error.what());
+        break;  // the state would be unreadable again
       }
     }
-    predecessor.close();
-    rockcrank::Timer rested(loop, [&] { loop.stop(); });
-    rested.set(loop.now() + pause);
+    handover.close();
+    rockcrank::Timer retry(loop, [&] { loop.stop(); });
+    retry.set(loop.now() + retry_interval);
     loop.run();
   }
-  rockcrank::Relay(config, loop, admin.get(), nullptr, notes).run();
+  rockcrank::Relay(config, loop, admin.get(), nullptr, gossip_enabled).run();
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   std::string command, operand;
-  bool notes = false;
+  bool gossip_enabled = false;
   try {
-    cxxopts::Options options("rockcrank", "a sender of webhooks and other calls");
-    options.add_options()("h,help", "this text")("notes", "short notes to other relays");
-    options.add_options()("command", "what to do", cxxopts::value<std::string>());
-    options.add_options()("operand", "an endpoint's id", cxxopts::value<std::string>());
+    cxxopts::Options options("rockcrank", "delivers webhooks and other calls");
+    options.add_options()("h,help", "print this help")("notes",
+                                                       "exchange gossip datagrams with other relays");
+    options.add_options()("command", "the command", cxxopts::value<std::string>());
+    options.add_options()("operand", "an endpoint id", cxxopts::value<std::string>());
     options.parse_positional({"command", "operand"});
     auto given = options.parse(argc, argv);
     if (given.count("help")) return std::fputs(usage, stdout), 0;
-    notes = given.count("notes") > 0;
+    gossip_enabled = given.count("notes") > 0;
     if (given.count("command")) command = given["command"].as<std::string>();
     if (given.count("operand")) operand = given["operand"].as<std::string>();
     if (!given.unmatched().empty()) command = given.unmatched().front();
@@ -105,9 +106,9 @@
   }
   if (command == "version") return std::printf("rockcrank %s\n", ROCKCRANK_VERSION), 0;
   if (command == "health" || command == "metrics" || command == "offline" || command == "online")
-    return call(command, operand);
+    return run_admin_command(command, operand);
   if (command != "serve" && command != "check") {
-    std::fprintf(stderr, "rockcrank: no such command: '%s'\n%s", command.c_str(), usage);
+    std::fprintf(stderr, "rockcrank: unknown command: '%s'\n%s", command.c_str(), usage);
     return 2;
   }
   if (command == "serve") rockcrank::Signals::block_reload();
@@ -115,7 +116,7 @@
     auto config = rockcrank::read_config();
     if (command == "check") rockcrank::peer::read_fleet(config);
     if (command == "check") return std::printf("%s: good\n", config.name.c_str()), 0;
-    serve(config, notes);
+    serve(config, gossip_enabled);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "rockcrank: %s\n", error.what());
     return 1;
--- a/src/relay/resp.h
+++ b/src/relay/resp.h
@@ -1,5 +1,5 @@
-// Owns the reading of clients' commands (RESP2: arrays of bulk strings). It copies nothing: a command is
-// slices of the buffer given. It must never judge what a command means.
+// A parser for client commands in RESP2 (arrays of bulk strings), without I/O. It copies nothing: a parsed
+// command refers to the caller's buffer.
 #pragma once
 
 #include <cstddef>
@@ -12,11 +12,11 @@
   enum class State { partial, complete, malformed };
   State state = State::partial;
   std::vector<std::string_view> arguments;
-  std::size_t size = 0;  // bytes of the buffer it took
+  std::size_t size = 0;  // bytes consumed from the buffer
 };
 
-// Reads the command at the front of the buffer. One of more words, or of more bytes in all its words, is
-// malformed as soon as that shows, so that nobody makes the relay wait for it.
-Command parse_command(std::string_view buffer, std::size_t words_most, std::size_t bytes_most);
+// Parses the command at the start of the buffer. A command that announces too many arguments, or too many
+// bytes in all arguments together, is malformed at once, so that no client can make the relay buffer it.
+Command parse_command(std::string_view buffer, std::size_t max_arguments, std::size_t max_bytes);
 
 }  // namespace rockcrank
--- a/src/settings/base64.cpp
+++ b/src/settings/base64.cpp
@@ -1,5 +1,3 @@
-// Base64 by libb64; base64.h says what it owns.
-
 #include "settings/base64.h"
 
 extern "C" {
@@ -16,7 +14,7 @@
   int size = base64_encode_block(bytes.data(), static_cast<int>(bytes.size()), text.data(), &state);
   size += base64_encode_blockend(text.data() + size, &state);
   text.resize(static_cast<std::size_t>(size));
-  std::erase(text, '\n');  // the library breaks lines
+  std::erase(text, '\n');  // libb64 inserts line breaks
   return text;
 }
 
--- a/src/settings/base64.h
+++ b/src/settings/base64.h
@@ -1,4 +1,4 @@
-// Owns Base64 as the wires want it, by libb64: padded, on one line. It must never judge what the bytes mean.
+// Base64 on top of libb64: padded, without line breaks.
 #pragma once
 
 #include <string>
@@ -7,6 +7,6 @@
 namespace rockcrank {
 
 std::string base64_encode(std::string_view bytes);
-std::string base64_decode(std::string_view text);  // up to what it cannot read
+std::string base64_decode(std::string_view text);  // invalid characters are not reported
 
 }  // namespace rockcrank
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -1,5 +1,3 @@
-// How texts become settings, hints and ids; settings.h says what it owns. No figure is made up here.
-
 #include "settings/settings.h"
 
 #include <algorithm>
@@ -10,7 +8,7 @@
 namespace rockcrank {
 namespace {
 
-constexpr std::int64_t id_end = std::int64_t{1} << 32;
+constexpr std::int64_t id_limit = std::int64_t{1} << 32;
 constexpr std::array<EnumName<RetrySafety>, 3> repeats{
     {{"safe", RetrySafety::idempotent}, {"keyed", RetrySafety::keyed}, {"unsafe", RetrySafety::unsafe}}};
 
@@ -24,21 +22,21 @@
   return std::all_of(text.begin(), text.end(), [](unsigned char c) { return c > 32 && c < 127; });
 }
 
-std::string_view next_token(std::string_view& rest, char mark) {
-  auto end = rest.find(mark);
+std::string_view next_token(std::string_view& rest, char separator) {
+  auto end = rest.find(separator);
   auto part = rest.substr(0, end);
   rest = end == std::string_view::npos ? std::string_view{} : rest.substr(end + 1);
   return part;
 }
 
-std::int64_t parse_integer(std::string_view text, const char* what, std::int64_t low, std::int64_t high) {
+std::int64_t parse_integer(std::string_view text, const char* what, std::int64_t min, std::int64_t max) {
   std::int64_t value = 0;
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error == std::errc::result_out_of_range)
     throw ParseError(std::string(what) + " is out of range: " + quote_excerpt(text));
   if (error != std::errc{} || end != text.data() + text.size())
     throw ParseError(std::string(what) + " is not a whole number: " + quote_excerpt(text));
-  if (value < low || value > high)
+  if (value < min || value > max)
     throw ParseError(std::string(what) + " is out of range: " + quote_excerpt(text));
   return value;
 }
@@ -75,15 +73,15 @@
                                                         : std::string_view(found->second);
 }
 
-double KeyValues::number(const std::string& path, double absent) const {
+double KeyValues::number(const std::string& path, double default_value) const {
   auto value = text(path);
-  return value.empty() ? absent : parse_number(value, path.c_str());
+  return value.empty() ? default_value : parse_number(value, path.c_str());
 }
 
-int KeyValues::count(const std::string& path, int absent) const {
+int KeyValues::count(const std::string& path, int default_value) const {
   auto value = text(path);
   return value.empty()
-             ? absent
+             ? default_value
              : static_cast<int>(parse_integer(value, path.c_str(), 0, std::numeric_limits<int>::max()));
 }
 
@@ -99,54 +97,54 @@
   return parts;
 }
 
-Settings decode_settings(const KeyValues& pairs) {
+Settings decode_settings(const KeyValues& values) {
   Settings settings;
-  settings.relays = std::max(1, pairs.count("balancers", 1));
-  settings.zone = ZoneId(pairs.count("az"));
-  settings.slots = pairs.count("specifics.slots", 1);
-  settings.max_documents = pairs.count("limits.openCap");
-  settings.max_transmissions = pairs.count("limits.maxAttempts", 1);
-  settings.discovery_on_request = pairs.text("registryMode") == "on_request";
-  settings.local_discovery_agent = pairs.text("registryMode") == "pushed";
-  settings.may_cancel = pairs.flag("limits.cancel");
-  settings.exponential_value_decay = pairs.text("specifics.decay") == "halving";
-  auto weights = pairs.text("weightKind");
+  settings.relays = std::max(1, values.count("balancers", 1));
+  settings.zone = ZoneId(values.count("az"));
+  settings.slots = values.count("specifics.slots", 1);
+  settings.max_documents = values.count("limits.openCap");
+  settings.max_transmissions = values.count("limits.maxAttempts", 1);
+  settings.discovery_on_request = values.text("registryMode") == "on_request";
+  settings.local_discovery_agent = values.text("registryMode") == "pushed";
+  settings.may_cancel = values.flag("limits.cancel");
+  settings.exponential_value_decay = values.text("specifics.decay") == "halving";
+  auto weights = values.text("weightKind");
   settings.limits_from_discovery = weights == "nominal" || weights == "rough";
-  settings.tick = pairs.duration("tickUs");
-  settings.connect_timeout = pairs.duration("limits.dialTimeoutUs");
-  settings.overload_multiple = pairs.number("rules.fallMultiple", 1);
-  settings.overload_window = pairs.duration("rules.fallUs");
-  settings.start_capacity = pairs.number("rules.startCapacity", 1);
-  settings.warm_up_time = pairs.duration("rules.warmWithinUs");
-  settings.order_settle_time = pairs.duration("rules.orderSettleUs");
-  if (pairs.flag("limits.retryAfter")) settings.max_retry_after = pairs.duration("limits.maxRetryAfterUs");
-  for (int i = 0; i < pairs.count("classes.count"); ++i) {
+  settings.tick = values.duration("tickUs");
+  settings.connect_timeout = values.duration("limits.dialTimeoutUs");
+  settings.overload_multiple = values.number("rules.fallMultiple", 1);
+  settings.overload_window = values.duration("rules.fallUs");
+  settings.start_capacity = values.number("rules.startCapacity", 1);
+  settings.warm_up_time = values.duration("rules.warmWithinUs");
+  settings.order_settle_time = values.duration("rules.orderSettleUs");
+  if (values.flag("limits.retryAfter")) settings.max_retry_after = values.duration("limits.maxRetryAfterUs");
+  for (int i = 0; i < values.count("classes.count"); ++i) {
     auto path = "classes." + std::to_string(i) + ".";
     DocType type;
-    type.target_latency = pairs.duration(path + "goalTimeUs");
-    type.lifetime = pairs.duration(path + "deadlineUs");
-    type.value = pairs.number(path + "worth", type.value);
-    type.late_value = pairs.number(path + "lateWorth");
-    auto repeat = pairs.text(path + "repeat");
+    type.target_latency = values.duration(path + "goalTimeUs");
+    type.lifetime = values.duration(path + "deadlineUs");
+    type.value = values.number(path + "worth", type.value);
+    type.late_value = values.number(path + "lateWorth");
+    auto repeat = values.text(path + "repeat");
     if (!repeat.empty()) type.retry_safety = parse_enum(repeats, repeat, "repeat");
     type.idempotency_scope =
-        pairs.text(path + "keyScope") == "all" ? IdempotencyScope::global : IdempotencyScope::zone;
-    type.idempotency_window = pairs.duration(path + "windowUs");
-    type.in_order = pairs.flag(path + "inOrder");
+        values.text(path + "keyScope") == "all" ? IdempotencyScope::global : IdempotencyScope::zone;
+    type.idempotency_window = values.duration(path + "windowUs");
+    type.in_order = values.flag(path + "inOrder");
     settings.doc_types.push_back(type);
   }
-  auto apart = pairs.list("specifics.routesApart");
-  auto bundles = pairs.list("specifics.bundleMax");
-  auto kinds = std::max({std::size_t{1}, pairs.list("skus").size(), apart.size(), bundles.size()});
+  auto apart = values.list("specifics.routesApart");
+  auto bundles = values.list("specifics.bundleMax");
+  auto kinds = std::max({std::size_t{1}, values.list("skus").size(), apart.size(), bundles.size()});
   for (std::size_t i = 0; i < kinds; ++i) {
     DestinationKind kind;
     if (i < apart.size()) kind.route_per_endpoint = parse_flag(apart[i], "specifics.routesApart");
     if (i < bundles.size())
-      kind.max_batch_size = static_cast<int>(parse_integer(bundles[i], "specifics.bundleMax", 1, id_end));
+      kind.max_batch_size = static_cast<int>(parse_integer(bundles[i], "specifics.bundleMax", 1, id_limit));
     settings.destination_kinds.push_back(kind);
   }
-  for (int i = 0; i < pairs.count("orgs.count"); ++i)
-    settings.tenant_rates.push_back(pairs.number("orgs." + std::to_string(i) + ".allowancePerS"));
+  for (int i = 0; i < values.count("orgs.count"); ++i)
+    settings.tenant_rates.push_back(values.number("orgs." + std::to_string(i) + ".allowancePerS"));
   return settings;
 }
 
@@ -157,12 +155,12 @@
   return hash;
 }
 
-LoadHints parse_hints(std::string_view text, char between) {
+LoadHints parse_hints(std::string_view text, char separator) {
   LoadHints hints;
   if (text == "-") return hints;
   while (!text.empty()) {
     auto pair = next_token(text, ',');
-    auto colon = pair.find(between);
+    auto colon = pair.find(separator);
     if (colon == std::string_view::npos)
       throw ParseError("a report value without a name: " + quote_excerpt(pair));
     auto name = pair.substr(0, colon);
