--- a/tests/crossings/stream_test.cpp
+++ b/tests/crossings/stream_test.cpp
@@ -1,5 +1,4 @@
-// Streams on loopback: that no last small write is held back by the system, however its connection came
-// about.
+// Streams set TCP_NODELAY on every connection, so that the last small write is not held back.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -13,7 +12,7 @@
 namespace rockcrank {
 namespace {
 
-bool sends_at_once(int fd) {
+bool has_no_delay(int fd) {
   int on = 0;
   socklen_t size = sizeof on;
   return getsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, &size) == 0 && on != 0;
@@ -34,23 +33,23 @@
   ~Listening() { ::close(fd); }
 };
 
-TEST(Stream, HoldsBackNoSmallWriteOnDialledAcceptedAndPassedConnections) {
+TEST(Stream, SetsNoDelayOnConnectedAcceptedAndInheritedStreams) {
   EventLoop loop;
   Listening listening;
-  Stream dialled(loop, listening.address);
+  Stream connected(loop, listening.address);
   int accepted_fd = accept4(listening.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   ASSERT_GE(accepted_fd, 0);
-  EXPECT_FALSE(sends_at_once(accepted_fd));  // the system's default: it is the stream that asks for it
+  EXPECT_FALSE(has_no_delay(accepted_fd));  // the system default is off; Stream sets it
   Stream accepted(loop, accepted_fd);
-  EXPECT_TRUE(sends_at_once(dialled.snapshot().fd));
-  EXPECT_TRUE(sends_at_once(accepted.snapshot().fd));
-  // As passed to another process: another descriptor of the same connection.
-  Stream::Snapshot kept = accepted.snapshot();
-  kept.fd = fcntl(kept.fd, F_DUPFD_CLOEXEC, 3);
-  ASSERT_GE(kept.fd, 0);
+  EXPECT_TRUE(has_no_delay(connected.snapshot().fd));
+  EXPECT_TRUE(has_no_delay(accepted.snapshot().fd));
+  // As handed over to another process: a duplicate descriptor of the same connection.
+  Stream::Snapshot snapshot = accepted.snapshot();
+  snapshot.fd = fcntl(snapshot.fd, F_DUPFD_CLOEXEC, 3);
+  ASSERT_GE(snapshot.fd, 0);
   accepted.close();
-  Stream passed(loop, kept);
-  EXPECT_TRUE(sends_at_once(passed.snapshot().fd));
+  Stream inherited(loop, snapshot);
+  EXPECT_TRUE(has_no_delay(inherited.snapshot().fd));
 }
 
 }  // namespace
