--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -133,14 +133,17 @@
     type.in_order = values.flag(path + "inOrder");
     settings.doc_types.push_back(type);
   }
-  auto apart = values.list("specifics.routesApart");
-  auto bundles = values.list("specifics.bundleMax");
-  auto kinds = std::max({std::size_t{1}, values.list("skus").size(), apart.size(), bundles.size()});
+  auto separate_routes = values.list("specifics.routesApart");
+  auto batch_sizes = values.list("specifics.bundleMax");
+  auto kinds =
+      std::max({std::size_t{1}, values.list("skus").size(), separate_routes.size(), batch_sizes.size()});
   for (std::size_t i = 0; i < kinds; ++i) {
     DestinationKind kind;
-    if (i < apart.size()) kind.route_per_endpoint = parse_flag(apart[i], "specifics.routesApart");
-    if (i < bundles.size())
-      kind.max_batch_size = static_cast<int>(parse_integer(bundles[i], "specifics.bundleMax", 1, id_limit));
+    if (i < separate_routes.size())
+      kind.route_per_endpoint = parse_flag(separate_routes[i], "specifics.routesApart");
+    if (i < batch_sizes.size())
+      kind.max_batch_size =
+          static_cast<int>(parse_integer(batch_sizes[i], "specifics.bundleMax", 1, id_limit));
     settings.destination_kinds.push_back(kind);
   }
   for (int i = 0; i < values.count("orgs.count"); ++i)
