--- a/src/relay/loop.cpp
+++ b/src/relay/loop.cpp
@@ -22,7 +22,6 @@
 namespace {
 
 constexpr int listen_backlog = 512;
-constexpr Millis max_poll_timeout = 60000;
 constexpr int max_reads_per_event = 4, max_accepts_per_event = 64;
 constexpr Millis accept_retry_delay = 20;
 constexpr std::size_t max_retained_capacity = 4096;     // bytes, of an empty buffer
@@ -136,8 +135,7 @@
     update_now();
     int timeout = -1;
     if (!timers_.empty())
-      timeout =
-          static_cast<int>(std::clamp(std::ceil(timers_.begin()->first.first - now_), 0.0, max_poll_timeout));
+      timeout = static_cast<int>(std::clamp(std::ceil(timers_.begin()->first.first - now_), 0.0, 60000.0));
     int count = poll(pollfds_.data(), pollfds_.size(), timeout);
     update_now();
     std::size_t known = pollfds_.size();
