--- a/src/decision/circuit_breaker.cpp
+++ b/src/decision/circuit_breaker.cpp
@@ -7,89 +7,97 @@
 
 namespace rockcrank::internal {
 
-void Decider::failed(Call& call, bool refused, bool waits) {
+void Decider::record_failure(Call& call, bool refused, bool waits) {
   Route& route = *call.route;
   if (!refused) {
-    route.bad.add(now_, 1);
-    if (++call.endpoint->failures_in_row >= 2) call.endpoint->rests_until = now_ + varied(2 * trial_pause);
+    route.failures.add(now_, 1);
+    if (++call.endpoint->consecutive_failures >= 2)
+      call.endpoint->deprioritized_until = now_ + jittered(2 * trial_delay);
   }
   bool first = route.failing_since >= never;
-  note_rate(route, 0, &call), route.failing_since = std::min(route.failing_since, now_);
+  record_rate_before_outage(route, 0, &call), route.failing_since = std::min(route.failing_since, now_);
   // The next try comes at a moment drawn from the time that the slow pace takes for one call, so that the
   // tries of relays that failed together do not come together.
-  if (first && is_suspected(route)) route.credit = drawn(0, 1), route.credited_at = now_;
-  route.failed_at = now_, keep(route);
+  if (first && is_suspected(route)) route.tokens = uniform(0, 1), route.refilled_at = now_;
+  route.last_failure_at = now_, mark_for_persistence(route);
   // A refusal alone says that the limit is met; only a streak longer than a limit's span tells a shut one.
-  bool shut = !waits && now_ - route.failing_since > longest_span;
-  if (call.sent < route.opened_at || (refused && route.mode == Mode::closed && !shut)) return;
-  ++route.failures_in_row;
-  if (route.mode == Mode::trial || route.mode == Mode::following) open(route);
+  bool shut = !waits && now_ - route.failing_since > max_limit_window;
+  if (call.sent_at < route.opened_at || (refused && route.breaker == BreakerState::closed && !shut)) return;
+  ++route.consecutive_failures;
+  if (route.breaker == BreakerState::half_open || route.breaker == BreakerState::confirming)
+    open_breaker(route);
 }
 
 // A hold longer than any limit's span is an outage: what it kept back must not burst out at its end.
-bool Decider::told_wait(Route& route, Millis until, bool limit_met) {
-  if (until <= route.told_until) return route.news;
-  route.told_until = until, keep(route);
-  if (limit_met || until - std::min(now_, route.failing_since) <= longest_span) return true;
-  note_rate(route);
-  if (!is_cold(route))
-    log(route, "shut_cold_after", {{"wait_ms", until - now_}, {"rate_before", route.rate_before}});
-  cold_from(route, until);
+bool Decider::apply_retry_after(Route& route, Millis until, bool limit_met) {
+  if (until <= route.retry_after_until) return route.publish_pending;
+  route.retry_after_until = until, mark_for_persistence(route);
+  if (limit_met || until - std::min(now_, route.failing_since) <= max_limit_window) return true;
+  record_rate_before_outage(route);
+  if (!in_slow_start(route))
+    log(route, "shut_cold_after", {{"wait_ms", until - now_}, {"rate_before", route.rate_before_outage}});
+  begin_slow_start(route, until);
   return true;
 }
 
-void Decider::succeeded(Route& route) {
-  double failing = route.bad.read(now_) / std::max(1e-3, route.bad.read(now_) + route.good.read(now_) - 1);
+void Decider::record_success(Route& route) {
+  double failing = route.failures.value(now_) /
+                   std::max(1e-3, route.failures.value(now_) + route.successes.value(now_) - 1);
   // A cold return binds also the relay that saw a single failure, unless it is one among many answers.
-  bool shut = is_refusing(route);
+  bool shut = refuses_persistently(route);
   // A second outage in the midst of a return: its silence must not count as time to warm up.
-  bool silent_since_failure =
-      (route.failures_in_row > 0 || route.refused_in_row > 0) && now_ - route.failing_since > longest_span;
+  bool silent_since_failure = (route.consecutive_failures > 0 || route.consecutive_refusals > 0) &&
+                              now_ - route.failing_since > max_limit_window;
   // Answers from before the outage would else outweigh the failures of a relay that calls often.
-  bool outage =
-      shut || route.mode != Mode::closed || failing > 0.5 || (is_cold(route) && silent_since_failure);
-  route.refused_in_row = route.failures_in_row = 0;
+  bool outage = shut || route.breaker != BreakerState::closed || failing > 0.5 ||
+                (in_slow_start(route) && silent_since_failure);
+  route.consecutive_refusals = route.consecutive_failures = 0;
   // The trial that was answered found it back; the calls that follow must not start its return anew.
   // Nor does a return known since the last failure, as from another relay.
-  if (route.failing_since < never && outage && route.mode != Mode::following && !return_is_known(route)) {
-    if (!is_cold(route))
-      log(route, "cold_return", {{"rate_before", route.rate_before}, {"failing", failing}}),
+  if (route.failing_since < never && outage && route.breaker != BreakerState::confirming &&
+      !recovery_is_known(route)) {
+    if (!in_slow_start(route))
+      log(route, "cold_return", {{"rate_before", route.rate_before_outage}, {"failing", failing}}),
           ++counters_.slow_starts;
-    route.cold_since = now_, route.news = true;
+    route.slow_start_since = now_, route.publish_pending = true;
   }
-  if (route.failing_since < never) keep(route);
-  if (route.mode == Mode::closed) route.failing_since = never;
-  if (route.mode == Mode::trial) route.mode = Mode::following, route.follow_left = follow_calls;
-  else if (route.mode == Mode::following && --route.follow_left <= 0) {
-    route.mode = Mode::closed, route.failing_since = never, route.news = true;
+  if (route.failing_since < never) mark_for_persistence(route);
+  if (route.breaker == BreakerState::closed) route.failing_since = never;
+  if (route.breaker == BreakerState::half_open)
+    route.breaker = BreakerState::confirming, route.confirmations_left = confirming_calls;
+  else if (route.breaker == BreakerState::confirming && --route.confirmations_left <= 0) {
+    route.breaker = BreakerState::closed, route.failing_since = never, route.publish_pending = true;
     log(route, "breaker_closed", {{"open_ms", now_ - route.opened_at}, {"failing", failing}});
   }
 }
 
-void Decider::open(Route& route) {
-  if (route.mode == Mode::closed) {
+void Decider::open_breaker(Route& route) {
+  if (route.breaker == BreakerState::closed) {
     ++counters_.breakers_opened;
-    log(route, "breaker_open", {{"failures", route.failures_in_row}, {"failing", route.bad.read(now_)}});
+    log(route, "breaker_open",
+        {{"failures", route.consecutive_failures}, {"failing", route.failures.value(now_)}});
   }
-  route.mode = Mode::open, route.opened_at = route.down_at = now_, route.news = true;
-  keep(route);
-  Millis own = 1000 / cold_pace(route, 0);
-  route.trial_at =
-      now_ + std::max(varied(trial_pause), own > trial_pause ? std::min(exponential(own), 2 * own) : 0);
+  route.breaker = BreakerState::open, route.opened_at = route.down_seen_at = now_,
+  route.publish_pending = true;
+  mark_for_persistence(route);
+  Millis own = 1000 / slow_start_rate(route, 0);
+  route.next_trial_at = now_ + std::max(jittered(trial_delay),
+                                        own > trial_delay ? std::min(draw_exponential(own), 2 * own) : 0);
 }
 
 // Five failures in a row, counted over all relays: one that calls seldom would not see five before the
 // outage is over. While single failures are mostly followed by answers, its own five.
-int Decider::to_open(Route& route) {
-  if (again_good_.read(now_) >= again_bad_.read(now_)) return failures_to_open;
-  double soon = 10 * std::max(route.rate_before, route.calls.per_second(now_));
-  soon = std::clamp(std::max(soon, 1.0 * failures_to_open / set_.relays), 1.0, 1.0 * failures_to_open);
+int Decider::failure_threshold(Route& route) {
+  if (lone_failures_.value(now_) >= repeated_failures_.value(now_)) return failures_to_open;
+  double soon = 10 * std::max(route.rate_before_outage, route.calls.per_second(now_));
+  soon = std::clamp(std::max(soon, 1.0 * failures_to_open / settings_.relays), 1.0, 1.0 * failures_to_open);
   return static_cast<int>(std::ceil(soon));
 }
 
 // Few routes have failed lately; only for those the sums behind to_open are read.
-bool Decider::fails_in_row(Route& r) {
-  return r.mode == Mode::closed && r.failures_in_row > 0 && r.failures_in_row >= to_open(r);
+bool Decider::reached_failure_threshold(Route& r) {
+  return r.breaker == BreakerState::closed && r.consecutive_failures > 0 &&
+         r.consecutive_failures >= failure_threshold(r);
 }
 
 }  // namespace rockcrank::internal
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -6,60 +6,62 @@
 
 namespace rockcrank::internal {
 
-void Decider::pass(Call& call, Stage to) {
-  begun_ += (to == Stage::begun) - (call.stage == Stage::begun);
-  connecting_ += (to == Stage::connecting) - (call.stage == Stage::connecting);
+void Decider::set_stage(Call& call, CallStage to) {
+  calls_started_ += (to == CallStage::started) - (call.stage == CallStage::started);
+  calls_connecting_ += (to == CallStage::connecting) - (call.stage == CallStage::connecting);
   call.stage = to;
 }
 
-bool Decider::sick(Route& route) {
-  double slow = route.slow.read(now_), bad = route.bad.read(now_);
-  return slow > std::max(0.05, slow_share * route.ended.read(now_)) ||
-         bad > std::max(0.2, 0.25 * (route.good.read(now_) + bad));
+bool Decider::is_degraded(Route& route) {
+  double slow = route.slow_calls.value(now_), bad = route.failures.value(now_);
+  return slow > std::max(0.05, slow_call_share * route.completed_calls.value(now_)) ||
+         bad > std::max(0.2, 0.25 * (route.successes.value(now_) + bad));
 }
 
 // The usual time of a call: the route's own, leaning on that of all routes while it has few.
-Millis Decider::usual(Route& route) {
-  double n = timed_.read(now_), lean = n > 0.01 ? took_.read(now_) / n : 0;
-  return (route.took.read(now_) + 2 * lean) / (route.timed.read(now_) + 2);
+Millis Decider::usual_duration(Route& route) {
+  double n = timed_calls_.value(now_), lean = n > 0.01 ? total_duration_.value(now_) / n : 0;
+  return (route.total_duration.value(now_) + 2 * lean) / (route.timed_calls.value(now_) + 2);
 }
 
 // Connections or queue full: calls stay under the number met for a while, or one more goes each pause.
-Millis Decider::room_at(const Endpoint& e) const {
-  int more = std::max(0, e.calls_out + 1 - e.room);
-  Millis room = more == 0 ? -never : e.room_met_at + (e.turns_away ? more * ladder_base : room_hold);
-  return std::max(room, now_ < e.back_at + set_.warm_up_time ? e.paced_until : -never);
+Millis Decider::capacity_free_at(const Endpoint& e) const {
+  int more = std::max(0, e.calls_in_flight + 1 - e.concurrency_limit);
+  Millis room =
+      more == 0 ? -never : e.limit_met_at + (e.refuses_when_full ? more * backoff_base : full_endpoint_hold);
+  return std::max(room, now_ < e.online_at + settings_.warm_up_time ? e.not_before : -never);
 }
 
 // Slots taken by calls far overdue at hung destinations starve the healthy ones. While a document waits for
 // a slot only, the call furthest overdue is called off; a binding document is lost with it.
-bool Decider::wants_slot(Doc& doc) {
-  if (!overdue_ || slots_taken() < set_.slots || freed_ >= set_.slots) return false;
-  return std::get<0>(urgency(doc)) < 2 && could_go(doc, set_.slots + 1);
+bool Decider::needs_slot(Doc& doc) {
+  if (!most_overdue_ || slots_taken() < settings_.slots || calls_canceled_ >= settings_.slots) return false;
+  return std::get<0>(priority_of(doc)) < 2 && can_transmit_with(doc, settings_.slots + 1);
 }
 
 // Calls that run out with hardly a late answer among them hang; where late answers come too, all is only
 // slow, and calling off would throw away work that the destinations go on with.
-Call* Decider::furthest_overdue() {
+Call* Decider::find_most_overdue() {
   Call* worst = nullptr;
-  if (!set_.may_cancel) return worst;
-  double most = hung_.read(now_) > 6 && late_.read(now_) < 0.08 * hung_.read(now_) ? 0.6 : 2.5;
+  if (!settings_.may_cancel) return worst;
+  double most =
+      hung_calls_.value(now_) > 6 && late_answers_.value(now_) < 0.08 * hung_calls_.value(now_) ? 0.6 : 2.5;
   for (auto& [number, call] : calls_) {
-    double by = (now_ - call.sent) / overdue_after(*call.route) * call.route->patience;
-    if (!call.called_off && by > most) worst = &call, most = by;
+    double by = (now_ - call.sent_at) / overdue_after(*call.route) * call.route->timeout_factor;
+    if (!call.canceled && by > most) worst = &call, most = by;
   }
   return worst;
 }
 
-void Decider::call_off(Doc& doc) {
-  Call* call = overdue_;
-  call->called_off = true, ++freed_, doc.not_before = now_ + set_.tick;
-  for (auto& [transmission, entry] : out_)
+void Decider::cancel_most_overdue(Doc& doc) {
+  Call* call = most_overdue_;
+  call->canceled = true, ++calls_canceled_, doc.not_before = now_ + settings_.tick;
+  for (auto& [transmission, entry] : in_flight_)
     if (&calls_[std::get<0>(entry)] == call)
-      done_.canceled.push_back({transmission.first, transmission.second});
+      actions_.canceled.push_back({transmission.first, transmission.second});
   ++counters_.canceled;
-  log(*call->route, "called_off", {{"age_ms", now_ - call->sent}, {"calls_out", calls_out_}});
-  overdue_ = furthest_overdue();
+  log(*call->route, "called_off", {{"age_ms", now_ - call->sent_at}, {"calls_out", calls_in_flight_}});
+  most_overdue_ = find_most_overdue();
 }
 
 }  // namespace rockcrank::internal
--- a/src/decision/decider.h
+++ b/src/decision/decider.h
@@ -24,12 +24,14 @@
 namespace rockcrank {
 namespace state {
 
-struct Route : RouteMarks {
-  Fading calls{15000}, recent{2000}, good{4000}, bad{4000}, ended{10000}, slow{10000}, took{8000},
-      timed{8000}, answered{8000}, broke{8000};  // answered: documents; the others: calls
+struct Route : RouteBase {
+  DecayingSum calls{15000}, recent_calls{2000}, successes{4000}, failures{4000}, completed_calls{10000},
+      slow_calls{10000}, total_duration{8000}, timed_calls{8000}, answered_documents{8000},
+      lost_connections{8000};  // answered: documents; the others: calls
   auto fields() {
-    return std::tuple_cat(RouteMarks::fields(),
-                          std::tie(calls, recent, good, bad, ended, slow, took, timed, answered, broke));
+    return std::tuple_cat(RouteBase::fields(),
+                          std::tie(calls, recent_calls, successes, failures, completed_calls, slow_calls,
+                                   total_duration, timed_calls, answered_documents, lost_connections));
   }
 };
 
@@ -40,24 +42,27 @@
 using namespace state;
 
 // The design's own values.
-constexpr Millis ladder_base = 500, trial_pause = 1000, slow_call = 3000, follow_within = 3900;
-constexpr double ladder_jitter = 0.2, slot_share = 0.75, slow_share = 0.01;
-constexpr int failures_to_open = 5, follow_calls = 3;
+constexpr Millis backoff_base = 500, trial_delay = 1000, slow_call_duration = 3000,
+                 max_discovery_delay = 3900;
+constexpr double backoff_jitter = 0.2, max_slot_share = 0.75, slow_call_share = 0.01;
+constexpr int failures_to_open = 5, confirming_calls = 3;
 
 class Decider final : public Decision {
   // What is handed over as it is; settings, chance and what each turn finds anew is not.
-  auto parts() {
-    return std::tie(routes_, lanes_, out_, used_, outs_, idle_broken_, list_failures_, due_, forgot_at_,
-                    longest_life_, idle_limit_, taken_, call_number_, calls_out_, connecting_, begun_, freed_,
-                    took_, timed_, late_, hung_, idle_breaks_, unconnected_, again_good_, again_bad_,
-                    all_keys_rest_until_);
+  auto exported_fields() {
+    return std::tie(routes_, key_queues_, in_flight_, endpoints_to_check_, offline_endpoints_,
+                    last_idle_loss_route_, discovery_failures_, due_at_, forgot_unused_at_, max_lifetime_,
+                    max_idle_time_, last_sequence_, last_call_number_, calls_in_flight_, calls_connecting_,
+                    calls_started_, calls_canceled_, total_duration_, timed_calls_, late_answers_,
+                    hung_calls_, idle_connection_losses_, connect_failures_, lone_failures_,
+                    repeated_failures_, all_keys_settled_at_);
   }
 
  public:
   Decider(const Settings& settings, std::uint64_t seed)
-      : set_(settings), chance_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {
-    for (const auto& type : set_.doc_types)
-      longest_life_ = std::max(longest_life_, types_.emplace_back(type).lifetime);
+      : settings_(settings), random_(static_cast<std::minstd_rand::result_type>(seed % 2147483646 + 1)) {
+    for (const auto& type : settings_.doc_types)
+      max_lifetime_ = std::max(max_lifetime_, doc_types_.emplace_back(type).lifetime);
     update_settings(settings);
   }
 
@@ -70,20 +75,20 @@
   void outcome(const Outcome& got) override;
   void withdraw(DocId id) override;
   void set_offline(EndpointId id, bool out) override;
-  void pause_sending(bool held) override { held_ = held; }
-  void previous_process_ended() override { all_keys_rest_until_ = now_ + set_.order_settle_time; }
+  void pause_sending(bool held) override { sending_paused_ = held; }
+  void previous_process_ended() override { all_keys_settled_at_ = now_ + settings_.order_settle_time; }
   std::string export_state() override;
   void import_state(const std::string& state) override;
-  void begin_shutdown(Millis within) override { leave_at_ = now_ + within; }
+  void begin_shutdown(Millis within) override { shutdown_at_ = now_ + within; }
   bool has_capacity() const override {
-    return set_.max_documents == 0 || static_cast<int>(docs_.size()) < set_.max_documents;
+    return settings_.max_documents == 0 || static_cast<int>(docs_.size()) < settings_.max_documents;
   }
   bool has_destination(DestinationId at) const override;
   Millis retry_after(DestinationId id) override;
   void note_connecting(DocId doc, int transmission) override;
   SendPermission may_send(DocId doc, int transmission) override;
   const Counters& counters() const override { return counters_; }
-  Millis retry_backoff(int failures) override { return varied(ladder(failures)); }
+  Millis retry_backoff(int failures) override { return jittered(backoff(failures)); }
   std::vector<RouteStatus> route_statuses(bool all) override;
   std::vector<RouteStatus> route_statuses_to_persist() override;
   void apply_route_status(const RouteStatus& k) override;
@@ -91,160 +96,181 @@
   Actions decide() override;
 
  private:
-  static constexpr Millis stall = 1000, longest_span = 2500, room_hold = 5000, cap_counts = 30000;
-  static constexpr int handful = 5, learnt_most = 1000;        // connections, that any endpoint takes; routes
-  static constexpr double share_slack = 1.3, room_left = 0.3;  // left of a limit: enough for others
+  static constexpr Millis min_stall = 1000, max_limit_window = 2500, full_endpoint_hold = 5000,
+                          connection_cap_memory = 30000;
+  static constexpr int min_connection_cap = 5,
+                       max_unlisted_routes = 1000;  // connections, that any endpoint takes; routes
+  static constexpr double tenant_share_slack = 1.3,
+                          spare_limit_share = 0.3;  // left of a limit: enough for others
 
   // Common
-  double drawn(double low, double high) { return std::uniform_real_distribution<double>(low, high)(chance_); }
-  void log(const Route& route, const char* event, std::initializer_list<RouteMarks::Field> fields);
-  Millis margin() const { return 2 * set_.tick; }
+  double uniform(double low, double high) {
+    return std::uniform_real_distribution<double>(low, high)(random_);
+  }
+  void log(const Route& route, const char* event, std::initializer_list<RouteBase::Field> fields);
+  Millis expiry_margin() const { return 2 * settings_.tick; }
 
   // The turn
-  void close(Doc& doc);
-  void forget();
+  void remove(Doc& doc);
+  void forget_unused();
   Millis next_due();
 
   // The list of endpoints
-  Millis list_spread() const {
-    return set_.local_discovery_agent ? 0 : std::min(follow_within, 100.0 * set_.relays);
+  Millis discovery_spread() const {
+    return settings_.local_discovery_agent ? 0 : std::min(max_discovery_delay, 100.0 * settings_.relays);
   }
 
   // Admission and ends
   bool may_reject(const Doc& doc) const;
-  Grade urgency(const Doc& doc);
+  Priority priority_of(const Doc& doc);
   // Rule 1: a final answer before the client's time is up.
-  bool out_of_time(Doc& doc) { return now_ >= doc.expiry - margin(); }
-  bool is_spent(Doc& doc);
-  void end(Doc& doc);
-  void note_end(const Doc& doc, bool rejected);
-  bool crowds_out(Doc& doc);
+  bool out_of_time(Doc& doc) { return now_ >= doc.expiry - expiry_margin(); }
+  bool is_exhausted(Doc& doc);
+  void end_document(Doc& doc);
+  void record_end(const Doc& doc, bool rejected);
+  bool must_make_room(Doc& doc);
 
   // Knowledge
-  void keep(Route& route) { route.keep = some_to_keep_ = true; }
+  void mark_for_persistence(Route& route) { route.persist_pending = persist_pending_ = true; }
 
   // Outcomes
-  void count(Call& call, const Outcome& got);
-  void note_failed_attempt(const Doc& doc, const Outcome& got, const Route& route);
-  void broke_idle(const Route& route, Millis idle);
+  void record_call_result(Call& call, const Outcome& got);
+  void log_failed_transmission(const Doc& doc, const Outcome& got, const Route& route);
+  void record_idle_connection_loss(const Route& route, Millis idle);
 
   // Circuit breaker
-  void failed(Call& call, bool refused, bool waits);
-  static bool spent(const LoadHints& hints) {
+  void record_failure(Call& call, bool refused, bool waits);
+  static bool limit_is_exhausted(const LoadHints& hints) {
     return hints.present && hints.rate_limit > 0 && hints.remaining_share < 0.1;
   }
-  bool told_wait(Route& route, Millis until, bool limit_met);
-  void succeeded(Route& route);
-  void open(Route& route);
-  int to_open(Route& route);
-  bool trial_is_due(Route& route) { return route.mode == Mode::open && now_ >= route.trial_at; }
-  void allow_trial(Route& route) { route.mode = Mode::trial; }
-  bool fails_in_row(Route& r);
+  bool apply_retry_after(Route& route, Millis until, bool limit_met);
+  void record_success(Route& route);
+  void open_breaker(Route& route);
+  int failure_threshold(Route& route);
+  bool trial_is_due(Route& route) {
+    return route.breaker == BreakerState::open && now_ >= route.next_trial_at;
+  }
+  void half_open(Route& route) { route.breaker = BreakerState::half_open; }
+  bool reached_failure_threshold(Route& r);
 
   // Pace and slow start
-  bool is_slow(Route& route) { return is_cold(route) || is_suspected(route); }
-  bool is_cold(const Route& route) const { return now_ < route.cold_since + set_.warm_up_time; }
-  bool return_is_known(const Route& route) const;
-  void note_rate(Route& route, double told = 0, const Call* failed = nullptr);
-  void cold_from(Route& route, Millis since);
-  double pace(Route& route);
-  double cold_pace(const Route& route, Millis age) const;
-  double suspected_pace(Route& route);
+  bool is_slow_start_limited(Route& route) { return in_slow_start(route) || is_suspected(route); }
+  bool in_slow_start(const Route& route) const {
+    return now_ < route.slow_start_since + settings_.warm_up_time;
+  }
+  bool recovery_is_known(const Route& route) const;
+  void record_rate_before_outage(Route& route, double told = 0, const Call* failed = nullptr);
+  void begin_slow_start(Route& route, Millis since);
+  double allowed_rate(Route& route);
+  double slow_start_rate(const Route& route, Millis age) const;
+  double suspected_rate(Route& route);
   bool is_suspected(Route& route);
-  bool is_refusing(const Route& route) const;
-  double credit(Route& route);
-  Millis free_at(Route& route);
-  Millis free_at(const Destination& to);
+  bool refuses_persistently(const Route& route) const;
+  double available_tokens(Route& route);
+  Millis next_call_at(Route& route);
+  Millis next_call_at(const Destination& to);
 
   // Concurrency limit
-  void pass(Call& call, Stage to);
-  bool sick(Route& route);
-  int cap(Route& r) { return std::max(1, static_cast<int>(slot_share * set_.slots) / (sick(r) ? 2 : 1)); }
-  Millis usual(Route& route);
-  Millis overdue_after(Route& route) { return std::max(1000.0, 5 * usual(route)) * route.patience; }
-  Millis room_at(const Endpoint& e) const;
+  void set_stage(Call& call, CallStage to);
+  bool is_degraded(Route& route);
+  int max_calls(Route& r) {
+    return std::max(1, static_cast<int>(max_slot_share * settings_.slots) / (is_degraded(r) ? 2 : 1));
+  }
+  Millis usual_duration(Route& route);
+  Millis overdue_after(Route& route) {
+    return std::max(1000.0, 5 * usual_duration(route)) * route.timeout_factor;
+  }
+  Millis capacity_free_at(const Endpoint& e) const;
   // A call takes its slot once its connection is up; as many again may be connecting.
-  int slots_taken() const { return std::max(calls_out_ - connecting_, calls_out_ - set_.slots); }
-  bool wants_slot(Doc& doc);
-  Call* furthest_overdue();
-  void call_off(Doc& doc);
+  int slots_taken() const {
+    return std::max(calls_in_flight_ - calls_connecting_, calls_in_flight_ - settings_.slots);
+  }
+  bool needs_slot(Doc& doc);
+  Call* find_most_overdue();
+  void cancel_most_overdue(Doc& doc);
 
   // Connections
-  Millis linger(const Endpoint& e);
-  bool gives_up(const Endpoint& e);
+  Millis idle_timeout(const Endpoint& e);
+  bool should_close_idle(const Endpoint& e);
 
   // Retry schedule
-  Millis exponential(Millis mean) { return std::exponential_distribution<double>(1 / mean)(chance_); }
-  Millis varied(Millis pause) { return pause * drawn(1 - ladder_jitter, 1 + ladder_jitter); }
-  static Millis ladder(int failures) { return ladder_base * std::exp2(std::min(failures, 16) - 1); }
+  Millis draw_exponential(Millis mean) { return std::exponential_distribution<double>(1 / mean)(random_); }
+  Millis jittered(Millis pause) { return pause * uniform(1 - backoff_jitter, 1 + backoff_jitter); }
+  static Millis backoff(int failures) { return backoff_base * std::exp2(std::min(failures, 16) - 1); }
   // Rule 2: no effect twice. The one place that allows a further transmission at a given time.
-  bool may_go_again(const Doc& doc, Millis when) const { return doc.out == 0 && marked(doc, when); }
-  bool marked(const Doc& doc, Millis when) const;
-  bool may_run_at(const Doc& doc, const Endpoint& endpoint) const;
-  Millis time_out(const Doc& doc, Route& route);
-  bool is_ready(const Doc& doc) const { return doc.out == 0 && now_ >= doc.not_before; }
+  bool may_transmit_again(const Doc& doc, Millis when) const {
+    return doc.in_flight == 0 && retry_is_safe(doc, when);
+  }
+  bool retry_is_safe(const Doc& doc, Millis when) const;
+  bool may_transmit_to(const Doc& doc, const Endpoint& endpoint) const;
+  Millis call_timeout(const Doc& doc, Route& route);
+  bool is_ready(const Doc& doc) const { return doc.in_flight == 0 && now_ >= doc.not_before; }
 
   // Message order
-  bool in_turn(const Doc& doc);
-  Millis rests_until(const KeyLane& lane) const { return std::max(lane.rests_until, all_keys_rest_until_); }
+  bool is_next_of_key(const Doc& doc);
+  Millis settled_at(const KeyQueue& lane) const { return std::max(lane.settled_at, all_keys_settled_at_); }
 
   // Sending
-  const char* overtaken_by(const Call& call, std::uint64_t number);
-  bool is_out_since(const Call& call);
-  int bundle_most(Route& route);
-  Call* opened(const Endpoint& endpoint);
-  bool joins(const Endpoint& endpoint);
-  Endpoint* choose(const Doc& doc, int slots);
-  bool could_go(Doc& doc, int slots);
-  bool can_go(Doc& doc) { return could_go(doc, set_.slots); }
+  const char* reason_not_to_send(const Call& call, std::uint64_t number);
+  bool went_down_since_chosen(const Call& call);
+  int current_batch_limit(Route& route);
+  Call* batch_of_turn(const Endpoint& endpoint);
+  bool can_join_batch(const Endpoint& endpoint);
+  Endpoint* choose_endpoint(const Doc& doc, int slots);
+  bool can_transmit_with(Doc& doc, int slots);
+  bool can_transmit(Doc& doc) { return can_transmit_with(doc, settings_.slots); }
   void transmit(Doc& doc);
   void check_send(const Doc& doc, const Endpoint& endpoint, bool new_call);
-  void check_writing(const Doc& doc, const Endpoint& endpoint);
-  void check(Invariant invariant, bool holds, const Route& route, DocId doc);
+  void check_write(const Doc& doc, const Endpoint& endpoint);
+  void check_invariant(Invariant invariant, bool holds, const Route& route, DocId doc);
 
   // The rules: each a condition and an effect.
   static constexpr Rule<Decider, Route> route_rules[] = {
-      {"five failures in a row open", &Decider::fails_in_row, &Decider::open},
-      {"one trial after the pause", &Decider::trial_is_due, &Decider::allow_trial},
+      {"five failures in a row open", &Decider::reached_failure_threshold, &Decider::open_breaker},
+      {"one trial after the pause", &Decider::trial_is_due, &Decider::half_open},
   };
   static constexpr Rule<Decider, Doc> doc_rules[] = {
-      {"no time left", &Decider::out_of_time, &Decider::end},
-      {"transmissions spent", &Decider::is_spent, &Decider::end},
-      {"may go", &Decider::can_go, &Decider::transmit},
-      {"a full room", &Decider::crowds_out, &Decider::end},
-      {"wants a slot", &Decider::wants_slot, &Decider::call_off},
+      {"no time left", &Decider::out_of_time, &Decider::end_document},
+      {"transmissions spent", &Decider::is_exhausted, &Decider::end_document},
+      {"may go", &Decider::can_transmit, &Decider::transmit},
+      {"a full room", &Decider::must_make_room, &Decider::end_document},
+      {"wants a slot", &Decider::needs_slot, &Decider::cancel_most_overdue},
   };
 
-  Settings set_;
-  SlowStart slow_start_{set_};
-  std::deque<DocType> types_;
-  std::minstd_rand chance_;
-  Millis follow_at_ = set_.discovery_on_request ? 0 : never;
-  Millis now_ = 0, due_ = 0, leave_at_ = never, forgot_at_ = 0, longest_life_ = 0, idle_limit_ = never;
-  std::uint64_t taken_ = 0, call_number_ = 0;
-  int list_failures_ = 0, calls_out_ = 0, connecting_ = 0, begun_ = 0, freed_ = 0;  // freed: called off
-  Call* overdue_ = nullptr;                                                         // the furthest, if any
-  bool held_ = false;         // another process may still send
-  bool some_to_keep_ = true;  // routes may be marked so, as after a hand-over
-  Fading took_{8000}, timed_{8000}, late_{8000}, hung_{8000};
+  Settings settings_;
+  SlowStart slow_start_{settings_};
+  std::deque<DocType> doc_types_;
+  std::minstd_rand random_;
+  Millis discovery_at_ = settings_.discovery_on_request ? 0 : never;
+  Millis now_ = 0, due_at_ = 0, shutdown_at_ = never, forgot_unused_at_ = 0, max_lifetime_ = 0,
+         max_idle_time_ = never;
+  std::uint64_t last_sequence_ = 0, last_call_number_ = 0;
+  int discovery_failures_ = 0, calls_in_flight_ = 0, calls_connecting_ = 0, calls_started_ = 0,
+      calls_canceled_ = 0;        // freed: called off
+  Call* most_overdue_ = nullptr;  // the furthest, if any
+  bool sending_paused_ = false;   // another process may still send
+  bool persist_pending_ = true;   // routes may be marked so, as after a hand-over
+  DecayingSum total_duration_{8000}, timed_calls_{8000}, late_answers_{8000}, hung_calls_{8000};
   std::map<RouteKey, Route> routes_;
   std::map<EndpointId, Endpoint> endpoints_;
   std::map<DestinationId, Destination> destinations_;
   std::map<DocId, Doc> docs_;
-  std::map<KeyId, KeyLane> lanes_;
+  std::map<KeyId, KeyQueue> key_queues_;
   std::map<std::uint64_t, Call> calls_;
-  std::map<std::pair<DocId, int>, std::tuple<std::uint64_t, KeyId, bool>> out_;
-  std::map<EndpointId, std::uint64_t> bundles_;  // the call opened this turn, by endpoint
-  std::vector<std::pair<Fading, double>> shares_;
-  std::vector<std::pair<Grade, Doc*>> waiting_;
-  Actions done_;
+  std::map<std::pair<DocId, int>, std::tuple<std::uint64_t, KeyId, bool>> in_flight_;
+  std::map<EndpointId, std::uint64_t> batches_of_turn_;  // the call opened this turn, by endpoint
+  std::vector<std::pair<DecayingSum, double>> tenant_shares_;
+  std::vector<std::pair<Priority, Doc*>> by_priority_;
+  Actions actions_;
   Counters counters_;
-  Millis all_keys_rest_until_ = -never;
-  int held_at_start_ = -1;   // documents that were there in the first turn
-  const char* reason_ = "";  // the rule that is being carried out
-  Fading idle_breaks_{30000}, unconnected_{30000}, again_good_{20000}, again_bad_{20000};  // again: see count
-  std::set<EndpointId> used_, outs_;  // calls there ended this turn; taken out by staff, listed or not
-  std::optional<std::uint64_t> idle_broken_;  // the route
+  Millis all_keys_settled_at_ = -never;
+  int documents_at_start_ = -1;    // documents that were there in the first turn
+  const char* current_rule_ = "";  // the rule that is being carried out
+  DecayingSum idle_connection_losses_{30000}, connect_failures_{30000}, lone_failures_{20000},
+      repeated_failures_{20000};  // again: see count
+  std::set<EndpointId> endpoints_to_check_,
+      offline_endpoints_;  // calls there ended this turn; taken out by staff, listed or not
+  std::optional<std::uint64_t> last_idle_loss_route_;  // the route
 };
 
 }  // namespace internal
--- a/src/decision/decision.cpp
+++ b/src/decision/decision.cpp
@@ -12,172 +12,185 @@
 namespace rockcrank {
 namespace internal {
 
-void Decider::log(const Route& route, const char* event, std::initializer_list<RouteMarks::Field> fields) {
-  done_.log.push_back(route.line(event, fields));
+void Decider::log(const Route& route, const char* event, std::initializer_list<RouteBase::Field> fields) {
+  actions_.log.push_back(route.log_line(event, fields));
 }
 
 // Documents point to the type they were taken on with, so types are only ever added.
 DocTypeId Decider::type_id(const DocType& type) {
-  auto found = std::ranges::find(types_, type);
-  if (found == types_.end()) found = types_.insert(types_.end(), type);
-  longest_life_ = std::max(longest_life_, type.lifetime);
-  return DocTypeId(found - types_.begin());
+  auto found = std::ranges::find(doc_types_, type);
+  if (found == doc_types_.end()) found = doc_types_.insert(doc_types_.end(), type);
+  max_lifetime_ = std::max(max_lifetime_, type.lifetime);
+  return DocTypeId(found - doc_types_.begin());
 }
 
 void Decider::update_settings(const Settings& settings) {
-  set_ = settings;
+  settings_ = settings;
   slow_start_ = SlowStart(settings);
-  shares_.resize(set_.tenant_rates.size(), {Fading(10000), 0});
-  for (std::size_t i = 0; i < shares_.size(); ++i) shares_[i].second = set_.tenant_rates[i] / set_.relays;
+  tenant_shares_.resize(settings_.tenant_rates.size(), {DecayingSum(10000), 0});
+  for (std::size_t i = 0; i < tenant_shares_.size(); ++i)
+    tenant_shares_[i].second = settings_.tenant_rates[i] / settings_.relays;
 }
 
 void Decider::begin_turn(Millis now) {
   // A stall of the relay itself: what fell due meanwhile must not go at once, so its waits are drawn anew.
-  if (now > due_ + stall && due_ > 0)
+  if (now > due_at_ + min_stall && due_at_ > 0)
     for (auto& [id, doc] : docs_)
-      if (doc.tries > 0 && doc.not_before <= now) doc.not_before = now + drawn(0, ladder_base);
-  now_ = now, done_ = {}, bundles_.clear();
+      if (doc.transmissions > 0 && doc.not_before <= now) doc.not_before = now + uniform(0, backoff_base);
+  now_ = now, actions_ = {}, batches_of_turn_.clear();
 }
 
 void Decider::withdraw(DocId id) {
-  if (docs_.count(id)) close(docs_[id]);
-  for (auto& [key, lane] : lanes_) lane.untold.erase(id);
+  if (docs_.count(id)) remove(docs_[id]);
+  for (auto& [key, lane] : key_queues_) lane.unacknowledged_ends.erase(id);
 }
 
 // Whatever is put back is cold: the route where it is the only one open, else the endpoint alone.
 void Decider::set_offline(EndpointId id, bool out) {
-  if (!(out ? outs_.insert(id).second : outs_.erase(id) > 0) || !endpoints_.count(id)) return;
+  if (!(out ? offline_endpoints_.insert(id).second : offline_endpoints_.erase(id) > 0) ||
+      !endpoints_.count(id))
+    return;
   Endpoint& e = endpoints_[id];
   Route& route = *e.route;
-  used_.insert(id), e.out = out;
-  if (out) return note_rate(route);
-  e.back_at = now_;
+  endpoints_to_check_.insert(id), e.offline = out;
+  if (out) return record_rate_before_outage(route);
+  e.online_at = now_;
   bool alone = std::ranges::none_of(endpoints_, [&](const auto& other) {
-    return other.second.route == &route && other.first != id && other.second.open();
+    return other.second.route == &route && other.first != id && other.second.accepts_calls();
   });
-  if (alone) cold_from(route, now_);
+  if (alone) begin_slow_start(route, now_);
 }
 
 std::string Decider::export_state() {
-  Carried all;
-  all.put(parts());
-  for (auto& [id, e] : endpoints_) all.add("endpoints", id, e);
-  for (auto& [number, call] : calls_) all.add("calls", std::pair(number, call.endpoint->id), call);
-  for (auto& [id, doc] : docs_) all.add("docs", *doc.type, doc);
+  StateArchive all;
+  all.put_fields(exported_fields());
+  for (auto& [id, e] : endpoints_) all.append("endpoints", id, e);
+  for (auto& [number, call] : calls_) all.append("calls", std::pair(number, call.endpoint->id), call);
+  for (auto& [id, doc] : docs_) all.append("docs", *doc.type, doc);
   return all.text();
 }
 
 void Decider::import_state(const std::string& state) {
-  Carried all(state);
-  all.get(parts());
-  all.each<EndpointId, Endpoint>("endpoints", [&](EndpointId id, const Endpoint& e) {
-    (endpoints_[id] = e).route = &routes_.at(e.key());
-    destinations_[e.destination].rank(&endpoints_[id]);
+  StateArchive all(state);
+  all.get_fields(exported_fields());
+  all.for_each<EndpointId, Endpoint>("endpoints", [&](EndpointId id, const Endpoint& e) {
+    (endpoints_[id] = e).route = &routes_.at(e.route_key());
+    destinations_[e.destination].add_endpoint(&endpoints_[id]);
   });
-  all.each<std::pair<std::uint64_t, EndpointId>, Call>("calls", [&](const auto& where, const Call& call) {
+  all.for_each<std::pair<std::uint64_t, EndpointId>, Call>("calls", [&](const auto& where, const Call& call) {
     (calls_[where.first] = call).endpoint = &endpoints_.at(where.second);
     calls_[where.first].route = endpoints_.at(where.second).route;
   });
-  all.each<DocType, Doc>("docs", [&](const DocType& type, const Doc& doc) {
-    (docs_[doc.id] = doc).type = &types_[static_cast<std::size_t>(type_id(type))];
-    docs_[doc.id].to = &destinations_[doc.destination], ++docs_[doc.id].to->docs;
+  all.for_each<DocType, Doc>("docs", [&](const DocType& type, const Doc& doc) {
+    (docs_[doc.id] = doc).type = &doc_types_[static_cast<std::size_t>(type_id(type))];
+    docs_[doc.id].destination = &destinations_[doc.destination_id],
+    ++docs_[doc.id].destination->document_count;
   });
-  follow_at_ = set_.discovery_on_request ? 0 : never;
+  discovery_at_ = settings_.discovery_on_request ? 0 : never;
 }
 
 Actions Decider::decide() {
-  if (held_at_start_ < 0) held_at_start_ = static_cast<int>(docs_.size());
-  done_.max_idle_time = idle_breaks_.read(now_) > 1.2 ? idle_limit_ : never;
+  if (documents_at_start_ < 0) documents_at_start_ = static_cast<int>(docs_.size());
+  actions_.max_idle_time = idle_connection_losses_.value(now_) > 1.2 ? max_idle_time_ : never;
   for (auto& [id, to] : destinations_) {
-    if (to.docs == 0) continue;
-    to.harmless = 0, to.told_until = never;
-    to.lead = to.ranked.empty() ? 0 : usual(*to.ranked.front()->route);
-    for (Endpoint* e : to.ranked)
-      if (e->open()) to.told_until = std::min(to.told_until, e->route->told_until);
-    if (to.told_until >= never) to.told_until = -never;  // none is listed: the list may be late
+    if (to.document_count == 0) continue;
+    to.ready_retry_safe = 0, to.retry_after_until = never;
+    to.expected_duration =
+        to.ranked_endpoints.empty() ? 0 : usual_duration(*to.ranked_endpoints.front()->route);
+    for (Endpoint* e : to.ranked_endpoints)
+      if (e->accepts_calls())
+        to.retry_after_until = std::min(to.retry_after_until, e->route->retry_after_until);
+    if (to.retry_after_until >= never) to.retry_after_until = -never;  // none is listed: the list may be late
   }
-  waiting_.clear();
+  by_priority_.clear();
   for (auto& [id, doc] : docs_) {
-    doc.to->harmless += is_ready(doc) && doc.type->retry_safety != RetrySafety::unsafe;
-    waiting_.push_back({urgency(doc), &doc});
+    doc.destination->ready_retry_safe += is_ready(doc) && doc.type->retry_safety != RetrySafety::unsafe;
+    by_priority_.push_back({priority_of(doc), &doc});
   }
-  std::sort(waiting_.begin(), waiting_.end());
+  std::sort(by_priority_.begin(), by_priority_.end());
   for (bool fired = true; fired;) {
     fired = false;
     // A call out far longer than usual counts as failed at that moment: a hung destination is known before
     // its calls time out, and binding documents, which have no time-out, do not fill the slots behind it.
     for (auto& [number, call] : calls_)
-      if (!call.overdue && !call.counted && now_ >= call.sent + overdue_after(*call.route))
-        call.overdue = true, failed(call, false, false);
+      if (!call.overdue && !call.counted && now_ >= call.sent_at + overdue_after(*call.route))
+        call.overdue = true, record_failure(call, false, false);
     for (const Rule<Decider, Route>& rule : route_rules)
       for (auto& [key, route] : routes_)
-        if ((this->*rule.when)(route)) (this->*rule.then)(route), fired = true;
-    for (auto& [id, to] : destinations_) to.shut[0] = to.shut[1] = false;
-    overdue_ = furthest_overdue();
+        if ((this->*rule.condition)(route)) (this->*rule.action)(route), fired = true;
+    for (auto& [id, to] : destinations_) to.blocked[0] = to.blocked[1] = false;
+    most_overdue_ = find_most_overdue();
     for (const Rule<Decider, Doc>& rule : doc_rules)
-      for (auto& [grade, doc] : waiting_)
-        if (doc && (this->*rule.when)(*doc)) {
+      for (auto& [grade, doc] : by_priority_)
+        if (doc && (this->*rule.condition)(*doc)) {
           DocId id = doc->id;
-          reason_ = rule.name;
-          (this->*rule.then)(*doc), fired = true;
+          current_rule_ = rule.name;
+          (this->*rule.action)(*doc), fired = true;
           if (!docs_.count(id)) doc = nullptr;
         }
   }
   // Endpoints take only so many connections, idle ones counted; who keeps one never meets the cap. So all
   // keep no more together than any endpoint takes, none to one not open; at a cap, what lies unused goes.
-  for (EndpointId id : std::exchange(used_, {})) {
+  for (EndpointId id : std::exchange(endpoints_to_check_, {})) {
     Endpoint& e = endpoints_[id];
-    if (gives_up(e)) done_.closed_connections.push_back({id}), e.idle_since = never;
-    else if (now_ < e.cap_met_at + cap_counts) done_.closed_connections.push_back({id, trial_pause});
+    if (should_close_idle(e)) actions_.closed_connections.push_back({id}), e.idle_since = never;
+    else if (now_ < e.connection_cap_met_at + connection_cap_memory)
+      actions_.closed_connections.push_back({id, trial_delay});
   }
-  if (now_ >= forgot_at_ + trial_pause) forget();
-  Millis asked = set_.local_discovery_agent ? ladder_base : trial_pause;  // a lost watch shows soon
-  if (now_ >= follow_at_) done_.long_poll_wait = asked, follow_at_ = never;
-  done_.discovery_timeout = set_.local_discovery_agent ? ladder_base : 2.5 * trial_pause;
-  due_ = next_due(), done_.wake_in = due_ >= never ? -1 : std::max(0.0, due_ - now_);
-  return std::move(done_);
+  if (now_ >= forgot_unused_at_ + trial_delay) forget_unused();
+  Millis asked = settings_.local_discovery_agent ? backoff_base : trial_delay;  // a lost watch shows soon
+  if (now_ >= discovery_at_) actions_.long_poll_wait = asked, discovery_at_ = never;
+  actions_.discovery_timeout = settings_.local_discovery_agent ? backoff_base : 2.5 * trial_delay;
+  due_at_ = next_due(), actions_.wake_in = due_at_ >= never ? -1 : std::max(0.0, due_at_ - now_);
+  return std::move(actions_);
 }
 
-void Decider::close(Doc& doc) {
-  if (doc.ordered) lanes_[doc.key].waiting.erase(doc.turn_taken);
-  --doc.to->docs, doc.to->harmless -= is_ready(doc) && doc.type->retry_safety != RetrySafety::unsafe;
+void Decider::remove(Doc& doc) {
+  if (doc.ordered) key_queues_[doc.key].waiting.erase(doc.sequence);
+  --doc.destination->document_count,
+      doc.destination->ready_retry_safe -= is_ready(doc) && doc.type->retry_safety != RetrySafety::unsafe;
   docs_.erase(doc.id);
 }
 
 // Guards against a day without end: what nobody can ask for any more goes, a route after all that binds it.
-void Decider::forget() {
-  forgot_at_ = now_;
+void Decider::forget_unused() {
+  forgot_unused_at_ = now_;
   for (auto& [id, e] : endpoints_) {
-    if (gives_up(e) || now_ < e.cap_met_at + cap_counts) used_.insert(id);
-    if (e.calls_out > 0 || now_ < e.gone_at + longest_life_) continue;
-    for (auto& [destination, to] : destinations_) std::erase(to.ranked, &e);
-    --e.route->endpoints, done_.forgotten_endpoints.push_back(id);
+    if (should_close_idle(e) || now_ < e.connection_cap_met_at + connection_cap_memory)
+      endpoints_to_check_.insert(id);
+    if (e.calls_in_flight > 0 || now_ < e.gone_at + max_lifetime_) continue;
+    for (auto& [destination, to] : destinations_) std::erase(to.ranked_endpoints, &e);
+    --e.route->endpoint_count, actions_.forgotten_endpoints.push_back(id);
   }
-  for (EndpointId id : done_.forgotten_endpoints) endpoints_.erase(id), used_.erase(id);
-  std::erase_if(destinations_, [](auto& at) { return at.second.ranked.empty() && !at.second.docs; });
+  for (EndpointId id : actions_.forgotten_endpoints) endpoints_.erase(id), endpoints_to_check_.erase(id);
+  std::erase_if(destinations_,
+                [](auto& at) { return at.second.ranked_endpoints.empty() && !at.second.document_count; });
   std::erase_if(routes_, [&](auto& at) {
-    return at.second.endpoints == 0 && now_ >= at.second.binds_until(set_.warm_up_time, longest_life_);
+    return at.second.endpoint_count == 0 &&
+           now_ >= at.second.relevant_until(settings_.warm_up_time, max_lifetime_);
   });
-  std::erase_if(lanes_, [&](auto& entry) { return entry.second.is_over(now_); });
+  std::erase_if(key_queues_, [&](auto& entry) { return entry.second.is_unused(now_); });
 }
 
 Millis Decider::next_due() {
-  Millis due = follow_at_;
+  Millis due = discovery_at_;
   auto wake_at = [&](Millis when) { due = when > now_ ? std::min(due, when) : due; };
   for (auto& [number, call] : calls_)
-    if (!call.overdue) wake_at(call.sent + overdue_after(*call.route));
+    if (!call.overdue) wake_at(call.sent_at + overdue_after(*call.route));
   for (auto& [id, doc] : docs_) {
-    wake_at(doc.expiry - margin());
-    if (doc.out > 0) continue;
-    wake_at(doc.risked_at + doc.type->idempotency_window - margin()), wake_at(doc.not_before);
+    wake_at(doc.expiry - expiry_margin());
+    if (doc.in_flight > 0) continue;
+    wake_at(doc.may_have_run_at + doc.type->idempotency_window - expiry_margin()), wake_at(doc.not_before);
     if (doc.not_before > now_) continue;
-    if (doc.ordered) wake_at(rests_until(lanes_[doc.key]));
-    doc.to->wanted = true;
+    if (doc.ordered) wake_at(settled_at(key_queues_[doc.key]));
+    doc.destination->has_ready_document = true;
   }
   for (auto& [id, to] : destinations_) {
-    if (!std::exchange(to.wanted, false)) continue;
-    for (Endpoint* e : to.ranked)
-      if (e->open()) wake_at(opened(*e) ? now_ + set_.tick : free_at(*e->route)), wake_at(room_at(*e));
+    if (!std::exchange(to.has_ready_document, false)) continue;
+    for (Endpoint* e : to.ranked_endpoints)
+      if (e->accepts_calls())
+        wake_at(batch_of_turn(*e) ? now_ + settings_.tick : next_call_at(*e->route)),
+            wake_at(capacity_free_at(*e));
   }
   return due;
 }
--- a/src/decision/retry_schedule.cpp
+++ b/src/decision/retry_schedule.cpp
@@ -6,24 +6,25 @@
 
 namespace rockcrank::internal {
 
-bool Decider::marked(const Doc& doc, Millis when) const {
+bool Decider::retry_is_safe(const Doc& doc, Millis when) const {
   if (!doc.may_have_run() || doc.type->retry_safety == RetrySafety::idempotent) return true;
   return doc.type->retry_safety == RetrySafety::keyed &&
-         when < doc.risked_at + doc.type->idempotency_window - margin();
+         when < doc.may_have_run_at + doc.type->idempotency_window - expiry_margin();
 }
 
-bool Decider::may_run_at(const Doc& doc, const Endpoint& endpoint) const {
+bool Decider::may_transmit_to(const Doc& doc, const Endpoint& endpoint) const {
   bool elsewhere = doc.type->retry_safety == RetrySafety::keyed && doc.may_have_run() &&
-                   doc.type->idempotency_scope == IdempotencyScope::zone && endpoint.hall != doc.risked_hall;
-  return may_go_again(doc, now_) && !elsewhere;
+                   doc.type->idempotency_scope == IdempotencyScope::zone &&
+                   endpoint.zone != doc.may_have_run_zone;
+  return may_transmit_again(doc, now_) && !elsewhere;
 }
 
-Millis Decider::time_out(const Doc& doc, Route& route) {
-  Millis left = doc.expiry - margin() - now_;
+Millis Decider::call_timeout(const Doc& doc, Route& route) {
+  Millis left = doc.expiry - expiry_margin() - now_;
   if (doc.type->retry_safety == RetrySafety::unsafe)
     return left;  // a time-out would only make its outcome unknown
-  return std::min(left,
-                  std::max(1500.0, std::max(doc.type->target_latency, 6 * usual(route)) * route.patience));
+  return std::min(left, std::max(1500.0, std::max(doc.type->target_latency, 6 * usual_duration(route)) *
+                                             route.timeout_factor));
 }
 
 }  // namespace rockcrank::internal
--- a/src/decision/route_status.cpp
+++ b/src/decision/route_status.cpp
@@ -10,8 +10,8 @@
 std::vector<RouteStatus> Decider::route_statuses(bool all) {
   std::vector<RouteStatus> known;
   for (auto& [key, route] : routes_) {
-    if (!all && !std::exchange(route.news, false)) continue;
-    auto one = route.known(key.first, now_, is_cold(route), all);
+    if (!all && !std::exchange(route.publish_pending, false)) continue;
+    auto one = route.status(key.first, now_, in_slow_start(route), all);
     if (!all || one.retry_after_left > 0 || one.state != RouteState::healthy || one.rate_limit > 0)
       known.push_back(one);
   }
@@ -20,11 +20,11 @@
 
 std::vector<RouteStatus> Decider::route_statuses_to_persist() {
   std::vector<RouteStatus> kept;
-  if (!std::exchange(some_to_keep_, false)) return kept;
+  if (!std::exchange(persist_pending_, false)) return kept;
   for (auto& [key, route] : routes_) {
-    if (!std::exchange(route.keep, false)) continue;
-    auto one = route.known(key.first, now_, is_cold(route), true);
-    if (is_suspected(route)) one.state = RouteState::down, one.state_age = now_ - route.failed_at;
+    if (!std::exchange(route.persist_pending, false)) continue;
+    auto one = route.status(key.first, now_, in_slow_start(route), true);
+    if (is_suspected(route)) one.state = RouteState::down, one.state_age = now_ - route.last_failure_at;
     one.from_this_relay = true;
     kept.push_back(one);
   }
@@ -36,37 +36,43 @@
 // sooner, at a moment drawn from what a cold destination bears of this relay.
 void Decider::apply_route_status(const RouteStatus& k) {
   RouteKey key{k.per_endpoint, k.route};
-  if (!routes_.count(key) && routes_.size() > endpoints_.size() + learnt_most) return;
+  if (!routes_.count(key) && routes_.size() > endpoints_.size() + max_unlisted_routes) return;
   Route& route = routes_[key];
-  const bool news = route.news, shut = route.mode == Mode::open || route.mode == Mode::trial;
+  const bool news = route.publish_pending,
+             shut = route.breaker == BreakerState::open || route.breaker == BreakerState::half_open;
   Millis seen = now_ - k.state_age, met = now_ - k.limit_age, until = now_ + k.retry_after_left;
-  Millis back = route.cold_since > now_ ? -never : route.cold_since, oldest = now_ - longest_life_;
-  route.name = k.route, route.learnt_at = now_;
+  Millis back = route.slow_start_since > now_ ? -never : route.slow_start_since,
+         oldest = now_ - max_lifetime_;
+  route.id = k.route, route.learned_at = now_;
   // Another relay's refusal is one more, in a row with this relay's own.
-  if (k.rate_limit > 0 && k.remaining_share < 0.1 && met > route.answered_at && route.refused_in_row > 0)
-    ++route.refused_in_row;
-  if (k.rate_limit > 0 && met > std::max({route.hinted_at, route.paced_at, oldest}))
-    route.limit = k.rate_limit, route.left_share = k.remaining_share, route.hinted_at = met;
-  if (k.retry_after_left > 0 && until > route.told_until)
-    told_wait(route, route.learnt_until = until, k.remaining_share < 0.1 && now_ < met + longest_span);
+  if (k.rate_limit > 0 && k.remaining_share < 0.1 && met > route.answered_at &&
+      route.consecutive_refusals > 0)
+    ++route.consecutive_refusals;
+  if (k.rate_limit > 0 && met > std::max({route.load_hints_at, route.rate_reduced_at, oldest}))
+    route.rate_limit = k.rate_limit, route.remaining_share = k.remaining_share, route.load_hints_at = met;
+  if (k.retry_after_left > 0 && until > route.retry_after_until)
+    apply_retry_after(route, route.learned_retry_after_until = until,
+                      k.remaining_share < 0.1 && now_ < met + max_limit_window);
   // Another relay's rate says nothing of this one's part.
   double own_rate = k.from_this_relay ? k.rate_before_outage : 0;
   // Of relays that return one after another each tells of its own trial: the first word of a return counts.
-  if (k.state == RouteState::recovering && !return_is_known(route) &&
-      seen > std::max(back, now_ - set_.warm_up_time))
-    note_rate(route, own_rate), cold_from(route, seen);
+  if (k.state == RouteState::recovering && !recovery_is_known(route) &&
+      seen > std::max(back, now_ - settings_.warm_up_time))
+    record_rate_before_outage(route, own_rate), begin_slow_start(route, seen);
   if (k.state == RouteState::down && !shut && seen >= std::max({route.answered_at, back, oldest})) {
-    note_rate(route, own_rate), route.failing_since = std::min(route.failing_since, now_);
-    route.bad.add(now_, failures_to_open), open(route), route.down_at = seen;
-  } else if (k.state != RouteState::down && route.mode == Mode::open && seen > route.down_at) {
-    route.down_at = seen;
+    record_rate_before_outage(route, own_rate), route.failing_since = std::min(route.failing_since, now_);
+    route.failures.add(now_, failures_to_open), open_breaker(route), route.down_seen_at = seen;
+  } else if (k.state != RouteState::down && route.breaker == BreakerState::open &&
+             seen > route.down_seen_at) {
+    route.down_seen_at = seen;
     // Once for each outage: the soonest of many draws would be no moment drawn at random.
-    if (std::exchange(route.hastened_at, now_) < route.opened_at) {
-      Millis age = k.state == RouteState::recovering ? std::min(k.state_age, set_.warm_up_time) : 0;
-      route.trial_at = std::min(route.trial_at, now_ + drawn(0, 1) * 1000 / cold_pace(route, age));
+    if (std::exchange(route.trial_advanced_at, now_) < route.opened_at) {
+      Millis age = k.state == RouteState::recovering ? std::min(k.state_age, settings_.warm_up_time) : 0;
+      route.next_trial_at =
+          std::min(route.next_trial_at, now_ + uniform(0, 1) * 1000 / slow_start_rate(route, age));
     }
   }
-  route.news = news;
+  route.publish_pending = news;
 }
 
 }  // namespace rockcrank::internal
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -10,27 +10,27 @@
 // Of the allowed multiple. With the sums of full_rate() and a capacity that is a little more than the limit,
 // the calls of all relays come to 0.72 to 0.83 of what is allowed in the mean. The rest, with the slack for
 // chance that the rule adds, is for spans that hold more: relays that decide alone call at random moments.
-constexpr double used_of_multiple = 0.83;
+constexpr double budget_utilization = 0.83;
 // All relays together try a destination at least once in this time.
 constexpr double seconds_between_trials = 1;
 // After the slow start the rate of each relay doubles each time this has passed, from this on at the least.
-constexpr Millis doubles_within = 500;
-constexpr double opening_rate = 1;
+constexpr Millis ramp_doubling_time = 500;
+constexpr double min_ramp_rate = 1;
 // A relay's own part may go beyond its steady rate by the calls of one moment: the credit for one call, a
 // trial, and the calls that follow it.
-constexpr double calls_at_once = 5;
+constexpr double burst_calls = 5;
 
 }  // namespace
 
 SlowStart::SlowStart(const Settings& settings)
     : relays_(settings.relays),
       start_capacity_(settings.start_capacity),
-      allowed_share_(used_of_multiple * settings.overload_multiple),
-      warm_within_(settings.warm_up_time) {}
+      allowed_multiple_(budget_utilization * settings.overload_multiple),
+      warm_up_time_(settings.warm_up_time) {}
 
 double SlowStart::capacity_share(Millis age) const {
-  if (warm_within_ <= 0) return 1;
-  return start_capacity_ + (1 - start_capacity_) * std::clamp(age / warm_within_, 0.0, 1.0);
+  if (warm_up_time_ <= 0) return 1;
+  return start_capacity_ + (1 - start_capacity_) * std::clamp(age / warm_up_time_, 0.0, 1.0);
 }
 
 // Where the limit is known: an equal part of it, and half of what a relay that calls more often went beyond
@@ -45,15 +45,15 @@
 
 double SlowStart::rate(const SlowStartInput& input, Millis age) const {
   double least = 1 / (seconds_between_trials * relays_);
-  double budget = std::max(full_rate(input) * capacity_share(age) * allowed_share_, least);
-  if (age <= warm_within_) return budget;
-  return std::max(budget, opening_rate) * std::exp2((age - warm_within_) / doubles_within);
+  double budget = std::max(full_rate(input) * capacity_share(age) * allowed_multiple_, least);
+  if (age <= warm_up_time_) return budget;
+  return std::max(budget, min_ramp_rate) * std::exp2((age - warm_up_time_) / ramp_doubling_time);
 }
 
-bool SlowStartMonitor::sent(Millis now, double rate, Millis fall_time) {
-  while (!sent_.empty() && sent_.front() < now - fall_time) sent_.pop_front();
-  sent_.push_back(now);
-  return static_cast<double>(sent_.size()) > rate * fall_time / 1000 + calls_at_once;
+bool SlowStartMonitor::record_call(Millis now, double rate, Millis fall_time) {
+  while (!sent_at_.empty() && sent_at_.front() < now - fall_time) sent_at_.pop_front();
+  sent_at_.push_back(now);
+  return static_cast<double>(sent_at_.size()) > rate * fall_time / 1000 + burst_calls;
 }
 
 }  // namespace rockcrank
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -20,7 +20,7 @@
  public:
   // After the slow start the rate still opens step by step: what was held back must not go at once, as the
   // age of the return is each relay's own estimate.
-  static constexpr Millis opening_within = 5000;
+  static constexpr Millis ramp_time = 5000;
 
   explicit SlowStart(const Settings& settings);
 
@@ -35,8 +35,8 @@
 
   double relays_;
   double start_capacity_;
-  double allowed_share_;  // of the warm capacity, at an age at which all of it is there
-  Millis warm_within_;
+  double allowed_multiple_;  // of the warm capacity, at an age at which all of it is there
+  Millis warm_up_time_;
 };
 
 // Counts at run time the sends that go beyond this relay's part: an independent check of the guard above. It
@@ -45,10 +45,10 @@
  public:
   // A call goes to a destination in slow start, whose rate is so many calls a second now. True: within the
   // fall time more calls went than this relay's part allows.
-  bool sent(Millis now, double rate, Millis fall_time);
+  bool record_call(Millis now, double rate, Millis fall_time);
 
  private:
-  std::deque<Millis> sent_;
+  std::deque<Millis> sent_at_;
 };
 
 }  // namespace rockcrank
--- a/src/decision/state_archive.h
+++ b/src/decision/state_archive.h
@@ -17,110 +17,110 @@
 namespace rockcrank::state {
 
 template <typename Type>
-concept Listing = requires(Type& thing) {
+concept HasFields = requires(Type& thing) {
   thing.fields();
 };
 
-class Carried {
+class StateArchive {
  public:
-  Carried() : all_({{"form", form}}) {}
-  explicit Carried(const std::string& text) : all_(Json::from_cbor(text)) {
-    if (all_.at("form") != form) throw std::runtime_error("the state is of another form");
+  StateArchive() : json_({{"form", format_version}}) {}
+  explicit StateArchive(const std::string& text) : json_(Json::from_cbor(text)) {
+    if (json_.at("form") != format_version) throw std::runtime_error("the state is of another form");
   }
   std::string text() const {
     std::string text;
-    Json::to_cbor(all_, text);
+    Json::to_cbor(json_, text);
     return text;
   }
 
   template <typename... Parts>
-  void put(std::tuple<Parts&...> parts) {
-    all_["parts"] = written(parts);
+  void put_fields(std::tuple<Parts&...> parts) {
+    json_["parts"] = to_json(parts);
   }
   template <typename... Parts>
-  void get(std::tuple<Parts&...> parts) const {
-    read(all_.at("parts"), parts);
+  void get_fields(std::tuple<Parts&...> parts) const {
+    from_json(json_.at("parts"), parts);
   }
 
   // One of a list of things, with what tells where it belongs.
   template <typename Where, typename Thing>
-  void add(const char* list, Where where, Thing& thing) {
-    all_[list].push_back(Json::array({written(where), written(thing)}));
+  void append(const char* list, Where where, Thing& thing) {
+    json_[list].push_back(Json::array({to_json(where), to_json(thing)}));
   }
   template <typename Where, typename Thing, typename Taker>
-  void each(const char* list, Taker take) const {
-    if (!all_.contains(list)) return;
-    for (const auto& one : all_.at(list)) {
+  void for_each(const char* list, Taker take) const {
+    if (!json_.contains(list)) return;
+    for (const auto& one : json_.at(list)) {
       Where where;
       Thing thing;
-      read(one.at(0), where), read(one.at(1), thing);
+      from_json(one.at(0), where), from_json(one.at(1), thing);
       take(where, thing);
     }
   }
 
  private:
   using Json = nlohmann::json;
-  static constexpr int form = 5;  // changed with every change of a listed field
+  static constexpr int format_version = 5;  // changed with every change of a listed field
 
   template <typename Type>
-  static Json written(Type&& thing) {
+  static Json to_json(Type&& thing) {
     using Plain = std::remove_cvref_t<Type>;
     if constexpr (std::is_enum_v<Plain>) return static_cast<std::uint64_t>(thing);
     else if constexpr (std::is_arithmetic_v<Plain>) return thing;
-    else if constexpr (Listing<Plain>) return written(thing.fields());
-    else if constexpr (requires { thing.has_value(); }) return thing ? written(*thing) : Json();
+    else if constexpr (HasFields<Plain>) return to_json(thing.fields());
+    else if constexpr (requires { thing.has_value(); }) return thing ? to_json(*thing) : Json();
     else {
       Json list = Json::array();
       if constexpr (requires { std::tuple_size<Plain>::value; })
-        std::apply([&](auto&... part) { (list.push_back(written(part)), ...); }, thing);
+        std::apply([&](auto&... part) { (list.push_back(to_json(part)), ...); }, thing);
       else
-        for (auto& one : thing) list.push_back(written(one));
+        for (auto& one : thing) list.push_back(to_json(one));
       return list;
     }
   }
 
   template <typename Type>
-  static void read(const Json& from, Type& thing) {
+  static void from_json(const Json& from, Type& thing) {
     if constexpr (std::is_enum_v<Type>) thing = Type(from.get<std::uint64_t>());
     else if constexpr (std::is_arithmetic_v<Type>) thing = from.get<Type>();
-    else if constexpr (Listing<Type>) {
+    else if constexpr (HasFields<Type>) {
       auto parts = thing.fields();
-      read(from, parts);
-    } else read_several(from, thing);
+      from_json(from, parts);
+    } else from_json_array(from, thing);
   }
   template <typename... Parts>
-  static void read_several(const Json& from, std::tuple<Parts...>& parts) {
+  static void from_json_array(const Json& from, std::tuple<Parts...>& parts) {
     if (from.size() != sizeof...(Parts)) throw std::runtime_error("the state lacks fields, or has too many");
     std::size_t at = 0;
-    std::apply([&](auto&... part) { (read(from.at(at++), part), ...); }, parts);
+    std::apply([&](auto&... part) { (from_json(from.at(at++), part), ...); }, parts);
   }
   template <typename A, typename B>
-  static void read_several(const Json& from, std::pair<A, B>& pair) {
-    read(from.at(0), pair.first), read(from.at(1), pair.second);
+  static void from_json_array(const Json& from, std::pair<A, B>& pair) {
+    from_json(from.at(0), pair.first), from_json(from.at(1), pair.second);
   }
   template <typename Value>
-  static void read_several(const Json& from, std::optional<Value>& value) {
+  static void from_json_array(const Json& from, std::optional<Value>& value) {
     if (from.is_null()) return value.reset();
-    read(from, value.emplace());
+    from_json(from, value.emplace());
   }
   template <typename Key>
-  static void read_several(const Json& from, std::set<Key>& keys) {
+  static void from_json_array(const Json& from, std::set<Key>& keys) {
     keys.clear();
     for (const auto& one : from) {
       Key key;
-      read(one, key), keys.insert(key);
+      from_json(one, key), keys.insert(key);
     }
   }
   template <typename Key, typename Value>
-  static void read_several(const Json& from, std::map<Key, Value>& map) {
+  static void from_json_array(const Json& from, std::map<Key, Value>& map) {
     map.clear();
     for (const auto& one : from) {
       Key key;
-      read(one.at(0), key), read(one.at(1), map[key]);
+      from_json(one.at(0), key), from_json(one.at(1), map[key]);
     }
   }
 
-  Json all_;
+  Json json_;
 };
 
 }  // namespace rockcrank::state
