--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -1,4 +1,4 @@
-// What is taken on, in which order it is tried, and how it ends when nothing more can be done for it.
+// Admission of documents, their priority, and how they end when no further transmission can help.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -14,7 +14,7 @@
   doc.id = given.id, doc.destination = &destinations_[given.destination], doc.expiry = now_ + given.time_left;
   doc.type = &doc_types_[static_cast<std::size_t>(given.type)];
   doc.max_transmissions = given.max_transmissions > 0 ? given.max_transmissions : settings_.max_transmissions;
-  // A document handed in with less left than its agreed time is in a hurry, not late.
+  // A document accepted with less time left than its target latency is urgent, not late.
   doc.soft_deadline = given.time_left < doc.type->target_latency && given.transmissions == 0
                           ? doc.expiry - expiry_margin()
                           : doc.expiry - doc.type->lifetime + doc.type->target_latency;
@@ -22,7 +22,7 @@
   doc.transmissions = given.transmissions;
   doc.ordered = doc.type->in_order && given.has_key;
   if (doc.ordered) key_queues_[doc.key].waiting.insert(doc.sequence);
-  // Recovered after a restart: a transmission that was out may have run, and its key rests.
+  // Recovered after a restart: a transmission in flight may have run, so its key has to settle.
   if (given.may_have_run) {
     doc.may_have_run_at = now_ - given.may_have_run_ago, doc.may_have_run_zone = given.may_have_run_zone;
     if (doc.ordered) key_queues_[doc.key].settled_at = now_ + settings_.order_settle_time;
@@ -38,22 +38,24 @@
   return destinations_.count(at) && !destinations_.at(at).ranked_endpoints.empty();
 }
 
-// At the door: after the ladder's first step, or when the destination may take a call, if that is later.
+// Retry-After for a document that is not accepted: the first backoff step, or the time until the destination may
+// take a call, if that is longer.
 Millis Decider::retry_after(DestinationId id) {
   Millis free = has_destination(id) ? next_call_at(destinations_[id]) : never, pause = jittered(backoff_base);
   return std::min(settings_.max_retry_after, free < never ? std::max(pause, free - now_) : pause);
 }
 
-// Rule 2: a rejection tells the client that trying again is harmless.
+// A rejection tells the client that trying again is harmless, so no transmission may have had an effect.
 bool Decider::may_reject(const Doc& doc) const {
   bool harmless = doc.type->deduplicated_globally() || !doc.may_have_run();
   return doc.type->retry_safety == RetrySafety::idempotent || (doc.in_flight == 0 && harmless);
 }
 
-// What can still make its agreed time first, then the late, then the rest. In each the most valuable first;
-// then the earliest, the freshest, the nearest to its expiry.
+// Documents that can still meet their target latency go first, then late ones, then those that have lost all
+// the value they can lose, then those over their tenant's share. Within a stage the most valuable goes first; ties
+// go to the earliest soft deadline (stage 0), the latest one (stage 1) or the earliest expiry (stages 2 and 3).
 Priority Decider::priority_of(const Doc& doc) {
-  // An ordered document holds up those of its key behind it.
+  // An ordered document blocks those of its key behind it, so it counts for all of them.
   double held_up = doc.ordered ? static_cast<double>(key_queues_[doc.key].waiting.size()) : 1;
   double value = -doc.type->value * held_up;
   auto grade = [&](int stage, Millis by) { return Priority{stage, value, by, doc.sequence}; };
@@ -65,7 +67,7 @@
 }
 
 bool Decider::is_exhausted(Doc& doc) {
-  // Told to wait past its expiry, a document cannot go any more, whoever of its destination was told.
+  // A document whose destination must wait past its expiry can no longer be sent, whichever call was told to wait.
   bool late = doc.transmissions >= doc.max_transmissions ||
               std::max(doc.not_before, doc.destination->retry_after_until) >= doc.expiry - expiry_margin();
   return doc.in_flight == 0 && (late || !may_transmit_again(doc, std::max(now_, doc.not_before)));
@@ -73,7 +75,7 @@
 
 void Decider::end_document(Doc& doc) {
   Millis wait =
-      std::min(next_call_at(*doc.destination) - now_, settings_.max_retry_after);  // told the client
+      std::min(next_call_at(*doc.destination) - now_, settings_.max_retry_after);  // Retry-After for the client
   bool rejected = may_reject(doc);
   if (rejected) actions_.rejected.push_back({doc.id, wait});
   else actions_.abandoned.push_back(doc.id);
@@ -102,10 +104,10 @@
   actions_.log.push_back(text);
 }
 
-// A full room turns away fresh documents at the door, as when a destination with much traffic is down. A
-// tenth is kept free: documents that have lost all they can lose make way, those nearest to expiry first.
+// At capacity new documents are turned away, as when a busy destination is down. To keep a tenth of the capacity
+// free, documents that have lost all the value they can lose are rejected, those nearest to their expiry first.
 bool Decider::must_make_room(Doc& doc) {
-  // Guards against giving up what a restart found, where that is more than the room is now.
+  // Documents recovered at a restart are not shed, even where they exceed the present capacity.
   double most = std::max(0.9 * settings_.max_documents, static_cast<double>(documents_at_start_));
   return settings_.max_documents > 0 && static_cast<double>(docs_.size()) > most && doc.in_flight == 0 &&
          may_reject(doc) && std::get<0>(priority_of(doc)) >= 2;
--- a/src/decision/circuit_breaker.cpp
+++ b/src/decision/circuit_breaker.cpp
@@ -1,5 +1,5 @@
-// The circuit breaker of a route: failures in a row open it, a trial that is answered closes it step by step,
-// and a told wait holds it.
+// The circuit breaker of a route: consecutive failures open it, an answered trial call closes it step by step, and
+// a Retry-After keeps calls back.
 #include <algorithm>
 #include <cmath>
 
@@ -16,11 +16,10 @@
   }
   bool first = route.failing_since >= never;
   record_rate_before_outage(route, 0, &call), route.failing_since = std::min(route.failing_since, now_);
-  // The next try comes at a moment drawn from the time that the slow pace takes for one call, so that the
-  // tries of relays that failed together do not come together.
+  // The token bucket starts at a random level, so that relays that failed together do not retry together.
   if (first && is_suspected(route)) route.tokens = uniform(0, 1), route.refilled_at = now_;
   route.last_failure_at = now_, mark_for_persistence(route);
-  // A refusal alone says that the limit is met; only a streak longer than a limit's span tells a shut one.
+  // A refusal alone means that the rate limit is met; only a streak longer than a limit's window means an outage.
   bool shut = !waits && now_ - route.failing_since > max_limit_window;
   if (call.sent_at < route.opened_at || (refused && route.breaker == BreakerState::closed && !shut)) return;
   ++route.consecutive_failures;
@@ -28,7 +27,8 @@
     open_breaker(route);
 }
 
-// A hold longer than any limit's span is an outage: what it kept back must not burst out at its end.
+// A Retry-After longer than any limit's window counts as an outage: the documents it kept back must not be sent in
+// a burst at its end. Returns whether peers have to be told.
 bool Decider::apply_retry_after(Route& route, Millis until, bool limit_met) {
   if (until <= route.retry_after_until) return route.publish_pending;
   route.retry_after_until = until, mark_for_persistence(route);
@@ -43,17 +43,18 @@
 void Decider::record_success(Route& route) {
   double failing = route.failures.value(now_) /
                    std::max(1e-3, route.failures.value(now_) + route.successes.value(now_) - 1);
-  // A cold return binds also the relay that saw a single failure, unless it is one among many answers.
+  // Slow start also binds a relay that saw a single failure, unless that is one among many answers.
   bool shut = refuses_persistently(route);
-  // A second outage in the midst of a return: its silence must not count as time to warm up.
+  // A second outage during slow start: the time without calls must not count as warm-up time.
   bool silent_since_failure = (route.consecutive_failures > 0 || route.consecutive_refusals > 0) &&
                               now_ - route.failing_since > max_limit_window;
-  // Answers from before the outage would else outweigh the failures of a relay that calls often.
+  // An outage seen in any of these ways counts even where, on a relay that calls often, answers from before it
+// outweigh the failures.
   bool outage = shut || route.breaker != BreakerState::closed || failing > 0.5 ||
                 (in_slow_start(route) && silent_since_failure);
   route.consecutive_refusals = route.consecutive_failures = 0;
-  // The trial that was answered found it back; the calls that follow must not start its return anew.
-  // Nor does a return known since the last failure, as from another relay.
+  // Slow start counts from the answered trial call: the confirming calls must not restart it. Nor does an answer
+// restart it where the recovery is already known since the last failure, as from another relay.
   if (route.failing_since < never && outage && route.breaker != BreakerState::confirming &&
       !recovery_is_known(route)) {
     if (!in_slow_start(route))
@@ -85,8 +86,9 @@
                                         own > trial_delay ? std::min(draw_exponential(own), 2 * own) : 0);
 }
 
-// Five failures in a row, counted over all relays: one that calls seldom would not see five before the
-// outage is over. While single failures are mostly followed by answers, its own five.
+// Five consecutive failures over all relays: a relay that calls seldom would not see five before the outage is
+// over, so its own threshold is its share of them. While single failures are mostly followed by answers, the
+// threshold is five of its own.
 int Decider::failure_threshold(Route& route) {
   if (lone_failures_.value(now_) >= repeated_failures_.value(now_)) return failures_to_open;
   double soon = 10 * std::max(route.rate_before_outage, route.calls.per_second(now_));
@@ -94,7 +96,7 @@
   return static_cast<int>(std::ceil(soon));
 }
 
-// Few routes have failed lately; only for those the sums behind to_open are read.
+// Few routes have failed recently; the threshold is computed only for those, as it reads decaying sums.
 bool Decider::reached_failure_threshold(Route& r) {
   return r.breaker == BreakerState::closed && r.consecutive_failures > 0 &&
          r.consecutive_failures >= failure_threshold(r);
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -1,5 +1,5 @@
-// How many calls may be out, in all and at each route and endpoint, and which of them is given up for want of
-// a slot.
+// Concurrency limits: how many calls may be in flight, in total and at each route and endpoint, and which call is
+// canceled when healthy destinations need its slot.
 #include <algorithm>
 
 #include "decision/decider.h"
@@ -18,13 +18,14 @@
          bad > std::max(0.2, 0.25 * (route.successes.value(now_) + bad));
 }
 
-// The usual time of a call: the route's own, leaning on that of all routes while it has few.
+// Mean duration of a call: the route's own, with the mean over all routes as a prior of two calls.
 Millis Decider::usual_duration(Route& route) {
   double n = timed_calls_.value(now_), lean = n > 0.01 ? total_duration_.value(now_) / n : 0;
   return (route.total_duration.value(now_) + 2 * lean) / (route.timed_calls.value(now_) + 2);
 }
 
-// Connections or queue full: calls stay under the number met for a while, or one more goes each pause.
+// When an endpoint whose connections or queue were full may take one more call: after full_endpoint_hold, or one more
+// per backoff step where it refuses calls when full.
 Millis Decider::capacity_free_at(const Endpoint& e) const {
   int more = std::max(0, e.calls_in_flight + 1 - e.concurrency_limit);
   Millis room =
@@ -32,15 +33,15 @@
   return std::max(room, now_ < e.online_at + settings_.warm_up_time ? e.not_before : -never);
 }
 
-// Slots taken by calls far overdue at hung destinations starve the healthy ones. While a document waits for
-// a slot only, the call furthest overdue is called off; a binding document is lost with it.
+// Calls far overdue at hung destinations hold slots that healthy destinations need. While a document waits only for
+// a slot, the most overdue call is canceled; an unsafe document on it cannot be sent again.
 bool Decider::needs_slot(Doc& doc) {
   if (!most_overdue_ || slots_taken() < settings_.slots || calls_canceled_ >= settings_.slots) return false;
   return std::get<0>(priority_of(doc)) < 2 && can_transmit_with(doc, settings_.slots + 1);
 }
 
-// Calls that run out with hardly a late answer among them hang; where late answers come too, all is only
-// slow, and calling off would throw away work that the destinations go on with.
+// Timeouts with hardly any late answers mean that destinations hang. Where late answers come too they are only
+// slow, and canceling would discard work that the destinations go on with.
 Call* Decider::find_most_overdue() {
   Call* worst = nullptr;
   if (!settings_.may_cancel) return worst;
--- a/src/decision/decision.cpp
+++ b/src/decision/decision.cpp
@@ -1,6 +1,5 @@
-// All decisions of rockcrank. The interface is decision.h: a host reports what happened in a turn and calls
-// decide(), which goes through the ordered rules of decider.h until none fires. docs/design.md
-// says which parts are the design's and under which condition each departure acts.
+// The turn of the decision module: decide() applies the ordered rules of decider.h until none fires. Also settings,
+// cleanup, and export and import of the state at a handover.
 #include "decision/decision.h"
 
 #include <algorithm>
@@ -16,7 +15,7 @@
   actions_.log.push_back(route.log_line(event, fields));
 }
 
-// Documents point to the type they were taken on with, so types are only ever added.
+// Documents point to the type they were accepted with, so types are never removed.
 DocTypeId Decider::type_id(const DocType& type) {
   auto found = std::ranges::find(doc_types_, type);
   if (found == doc_types_.end()) found = doc_types_.insert(doc_types_.end(), type);
@@ -33,7 +32,8 @@
 }
 
 void Decider::begin_turn(Millis now) {
-  // A stall of the relay itself: what fell due meanwhile must not go at once, so its waits are drawn anew.
+  // After a stall of the relay itself, retries that fell due meanwhile are spread again, so that they are not sent
+// at once.
   if (now > due_at_ + min_stall && due_at_ > 0)
     for (auto& [id, doc] : docs_)
       if (doc.transmissions > 0 && doc.not_before <= now) doc.not_before = now + uniform(0, backoff_base);
@@ -45,7 +45,8 @@
   for (auto& [key, lane] : key_queues_) lane.unacknowledged_ends.erase(id);
 }
 
-// Whatever is put back is cold: the route where it is the only one open, else the endpoint alone.
+// An endpoint that comes back online begins in slow start: its route where no other endpoint of it accepts calls,
+// else the endpoint alone.
 void Decider::set_offline(EndpointId id, bool out) {
   if (!(out ? offline_endpoints_.insert(id).second : offline_endpoints_.erase(id) > 0) ||
       !endpoints_.count(id))
@@ -100,7 +101,7 @@
     for (Endpoint* e : to.ranked_endpoints)
       if (e->accepts_calls())
         to.retry_after_until = std::min(to.retry_after_until, e->route->retry_after_until);
-    if (to.retry_after_until >= never) to.retry_after_until = -never;  // none is listed: the list may be late
+    if (to.retry_after_until >= never) to.retry_after_until = -never;  // no endpoint accepts calls: the list may be late
   }
   by_priority_.clear();
   for (auto& [id, doc] : docs_) {
@@ -110,8 +111,8 @@
   std::sort(by_priority_.begin(), by_priority_.end());
   for (bool fired = true; fired;) {
     fired = false;
-    // A call out far longer than usual counts as failed at that moment: a hung destination is known before
-    // its calls time out, and binding documents, which have no time-out, do not fill the slots behind it.
+    // An overdue call counts as failed at once: a hung destination is detected before its calls time out, and
+// unsafe documents, which have no timeout, do not fill the slots.
     for (auto& [number, call] : calls_)
       if (!call.overdue && !call.counted && now_ >= call.sent_at + overdue_after(*call.route))
         call.overdue = true, record_failure(call, false, false);
@@ -129,8 +130,9 @@
           if (!docs_.count(id)) doc = nullptr;
         }
   }
-  // Endpoints take only so many connections, idle ones counted; who keeps one never meets the cap. So all
-  // keep no more together than any endpoint takes, none to one not open; at a cap, what lies unused goes.
+  // Endpoints cap their connections, idle ones included, and a relay that holds an idle one never notices the cap.
+// So the fleet keeps no more idle connections than any endpoint accepts, and none to an endpoint that accepts no
+// calls; at an endpoint that met its cap, unused connections are closed.
   for (EndpointId id : std::exchange(endpoints_to_check_, {})) {
     Endpoint& e = endpoints_[id];
     if (should_close_idle(e)) actions_.closed_connections.push_back({id}), e.idle_since = never;
@@ -138,7 +140,7 @@
       actions_.closed_connections.push_back({id, trial_delay});
   }
   if (now_ >= forgot_unused_at_ + trial_delay) forget_unused();
-  Millis asked = settings_.local_discovery_agent ? backoff_base : trial_delay;  // a lost watch shows soon
+  Millis asked = settings_.local_discovery_agent ? backoff_base : trial_delay;  // a short wait, so that a lost long poll is noticed soon
   if (now_ >= discovery_at_) actions_.long_poll_wait = asked, discovery_at_ = never;
   actions_.discovery_timeout = settings_.local_discovery_agent ? backoff_base : 2.5 * trial_delay;
   due_at_ = next_due(), actions_.wake_in = due_at_ >= never ? -1 : std::max(0.0, due_at_ - now_);
@@ -152,7 +154,8 @@
   docs_.erase(doc.id);
 }
 
-// Guards against a day without end: what nobody can ask for any more goes, a route after all that binds it.
+// Bounds the memory of a long-running process: drops what no document can refer to any more. A route is kept while a
+// Retry-After, slow start or a peer's report binds it.
 void Decider::forget_unused() {
   forgot_unused_at_ = now_;
   for (auto& [id, e] : endpoints_) {
--- a/src/decision/endpoint_list.cpp
+++ b/src/decision/endpoint_list.cpp
@@ -1,5 +1,4 @@
-// The list of endpoints as discovery tells it: which destinations and endpoints there are, and when the list
-// is asked for again.
+// The endpoint list from discovery: which destinations and endpoints exist, and when discovery is called again.
 #include <algorithm>
 
 #include "decision/decider.h"
@@ -9,7 +8,7 @@
 void Decider::update_endpoints(const std::vector<EndpointEntry>& entries, bool whole) {
   discovery_failures_ = 0;
   if (discovery_at_ == 0)
-    discovery_at_ = now_ + uniform(0, discovery_spread());  // started with a list, as all others may be
+    discovery_at_ = now_ + uniform(0, discovery_spread());  // spread, as all relays may have started with a saved list
   if (whole)
     for (auto& [id, endpoint] : endpoints_)
       endpoint.status = EndpointStatus::gone, endpoints_to_check_.insert(id);
@@ -25,7 +24,7 @@
       Route& route = *(endpoint.route = &routes_[endpoint.route_key()]);
       route.id = endpoint.route_key().second, route.max_batch_size = kind.max_batch_size,
       ++route.endpoint_count;
-      // Ranked by hashing; endpoints in the relay's own hall come first, as a crossing costs.
+      // Rendezvous hashing; endpoints in the relay's own zone come first, as traffic across zones costs.
       endpoint.rank = rendezvous_hash(std::uint64_t(entry.destination), std::uint64_t(entry.endpoint)) >> 1;
       if (endpoint.zone != settings_.zone) endpoint.rank |= std::uint64_t{1} << 63;
       destinations_[entry.destination].add_endpoint(&endpoint);
@@ -38,8 +37,8 @@
     endpoint.gone_at = endpoint.status == EndpointStatus::gone ? std::min(endpoint.gone_at, now_) : never;
 }
 
-// Guards against a herd: who asks again soon keeps discovery at answers that come too late. The ladder has
-// the time that all need one by one, but leaves of the protocol's 6 s what discovery may take, 2 s.
+// Prevents a thundering herd: with early retries discovery works on answers that come too late. The backoff covers
+// the time that all relays need one by one, but leaves discovery its 2 s of the protocol's 6 s.
 void Decider::discovery_failed(bool turned_away, Millis took) {
   if (settings_.local_discovery_agent && !turned_away)
     return void(discovery_at_ = now_ + uniform(0, backoff_base));
--- a/src/decision/invariants.cpp
+++ b/src/decision/invariants.cpp
@@ -1,4 +1,4 @@
-// The counts of the run-time check; invariants.h says what it is for.
+// Counters of the run-time checks declared in invariants.h.
 #include "decision/invariants.h"
 
 namespace rockcrank {
--- a/src/decision/outcomes.cpp
+++ b/src/decision/outcomes.cpp
@@ -1,4 +1,4 @@
-// What the end of an attempt says of its message, its endpoint and its route.
+// Evaluates the outcome of a transmission for its document, its endpoint and its route.
 #include <algorithm>
 #include <cstdio>
 #include <utility>
@@ -21,14 +21,14 @@
     --lane.in_flight;
     if (unknown) lane.settled_at = std::max(lane.settled_at, now_ + settings_.order_settle_time);
   }
-  // Rule 6: a told wait binds every send of the route; each document of a bundle may name its own.
+  // A Retry-After binds every call of the route; each document of a batch may carry its own.
   if (got.retry_after > 0)
     call.route->publish_pending =
         apply_retry_after(*call.route, now_ + got.retry_after, limit_is_exhausted(got.hints));
   Millis overdue = overdue_after(*call.route);
   if ((ran_out || off) && got.duration > 1.1 * overdue / call.route->timeout_factor) hung_calls_.add(now_, 1);
   if (got.result == TransmissionResult::answered) call.route->answered_documents.add(now_, 1);
-  // A call cut short by its document's expiry says nothing of the destination.
+  // A call cut short by its document's expiry says nothing about the destination.
   bool tells = got.result != TransmissionResult::not_sent && !off && !(ran_out && got.duration < overdue);
   if (!call.counted && tells) record_call_result(call, got);
   call.counted = true;
@@ -46,8 +46,9 @@
       doc.may_have_run_at = call.sent_at, doc.may_have_run_zone = call.endpoint->zone;
     if (got.completed) remove(doc);
     else {
-      // The ladder, also where no slot or socket was free: base x 2^(try-1), varied; after a refusal by all
-      // of itself from the end of a told wait, so that what was refused together comes again apart.
+      // Exponential backoff with jitter: base x 2^(failures-1), also where no slot or socket was free. After a
+// refusal the jitter is 100%, counted from the end of a Retry-After, so that what was refused together is not
+// retried together.
       Millis pause = backoff(++doc.failures);
       doc.not_before =
           now_ + (got.result == TransmissionResult::refused ? uniform(0, 2) * pause : jittered(pause));
@@ -59,7 +60,7 @@
   if (call.document_count == 0) calls_.erase(call_number);
 }
 
-// Health, latency and pace of a route, from one call's end.
+// Updates the health, latency and rate of a route from the first outcome of a call.
 void Decider::record_call_result(Call& call, const Outcome& got) {
   Route& route = *call.route;
   Endpoint& endpoint = *call.endpoint;
@@ -89,19 +90,20 @@
     if (call.sent_at >= route.opened_at) record_success(route);
     return;
   }
-  // At a connection cap some calls get in; a dead endpoint answers none. One that refuses a new
-  // connection's first call and ends it has met its cap too, maybe by those of other relays. One that
-  // refuses a call beside others, and tells of no limit or of room below it, has its queue full: a lower
-  // pace leaves it idle.
+  // At a connection cap some calls succeed; a dead endpoint answers none. An endpoint that refuses the first call
+// of a new connection and closes it has met its cap too, perhaps by connections of other relays. One that
+// refuses a call beside others, and reports no rate limit or a share of it left, has its queue full: a lower rate
+// would leave it idle.
   bool full = got.result == TransmissionResult::refused && got.retry_after <= 0 && got.hints.present &&
               (got.hints.rate_limit <= 0 || got.hints.remaining_share > spare_limit_share);
-  // The first connection refused at once to one of many relays may be one that others hold. One that never
-  // comes up tells an outage, as does a second, or one after any failure; then the one let pass counts too.
+  // In a large fleet the first connection refused at once may be due to connections that other relays hold. One
+// that never comes up means an outage, as does a second refused one, or one after any failure; then the first,
+// excused one counts too.
   bool missed = got.result == TransmissionResult::not_connected;
   bool beside = endpoint.calls_in_flight > 1 && call.sent_at - endpoint.answered_at < 2000;
   bool passed = settings_.relays > min_connection_cap && route.connection_cap_met_at > route.answered_at;
-  // Where the host tells of its connections, an endpoint at its cap says so in an answer; one that refuses
-  // a connection, or is silent, is out. So is one that had just come back.
+  // Where the host reports connection idle times, an endpoint at its cap says so in an answer, and one that refuses
+// a connection or stays silent is down. So is one in slow start.
   bool maybe_cap = missed && got.connection_idle_time < 0 && got.duration < 0.5 * settings_.connect_timeout &&
                    !in_slow_start(route);
   bool once = maybe_cap && settings_.relays > min_connection_cap &&
@@ -113,7 +115,7 @@
     if (now_ > endpoint.limit_met_at + max_limit_window)
       log(route, full ? "queue_full" : "connections_full",
           {{"held_to", endpoint.concurrency_limit}, {"calls_out", endpoint.calls_in_flight}});
-    // What was refused together must not come again together: a hold is drawn from all of itself.
+    // What was refused together must not be retried together, so the hold is jittered over its whole length.
     endpoint.limit_met_at = now_ + (once ? uniform(-1, 1) * full_endpoint_hold : 0);
     return;
   }
@@ -136,7 +138,7 @@
   if (got.result == TransmissionResult::connection_lost && got.connection_idle_time >= 0 &&
       idle_connection_losses_.value(now_) > 1.2)
     return;
-  // A sunken limit refuses for seconds on end too, but then the hints say that nothing is left: no outage.
+  // A lowered rate limit refuses for seconds on end too, but then the hints say that nothing is left: no outage.
   if (got.result == TransmissionResult::refused && limit_is_exhausted(got.hints)) return;
   if (!call.overdue) record_failure(call, got.result == TransmissionResult::refused, got.retry_after > 0);
 }
@@ -154,8 +156,9 @@
   actions_.log.push_back(text);
 }
 
-// Calls that break at one destination after another, each on a kept connection: something on the way drops
-// connections. For a while those idle for as long are closed before use; a new one costs.
+// Connections lost at one destination after another, each on a reused connection, mean that something on the path
+// drops idle connections. For a while connections idle for as long are closed before use; only then, as a new
+// connection costs.
 void Decider::record_idle_connection_loss(const Route& route, Millis idle) {
   if (idle > 500)
     max_idle_time_ = std::min(idle_connection_losses_.value(now_) < 0.2 ? never : max_idle_time_, 0.9 * idle);
--- a/src/decision/pacing.cpp
+++ b/src/decision/pacing.cpp
@@ -1,5 +1,5 @@
-// The pace of a route: its part of a limit, of the fleet's budget in slow start, and of that for a
-// destination that may be out.
+// The rate at which this relay calls a route: its share of the rate limit, of the fleet's slow-start budget, and of
+// the budget for a destination that may be down.
 #include <algorithm>
 #include <cmath>
 
@@ -7,14 +7,13 @@
 
 namespace rockcrank::internal {
 
-// A return that began after the last failure known of, here or elsewhere.
+// Whether slow start began after the last known failure, here or on another relay.
 bool Decider::recovery_is_known(const Route& route) const {
   return in_slow_start(route) && route.slow_start_since > std::max(route.down_seen_at, route.last_failure_at);
 }
 
-// The relay's own rate before an outage, against which its return is paced.
-// Without the call that failed: whoever has just called would else seem to call more often than it does,
-// and the more so the less it calls.
+// The relay's own rate before an outage, on which its slow start is based. The failed call itself is left out:
+// a relay that has just called would otherwise seem to call more often than it does, the more so the less it calls.
 void Decider::record_rate_before_outage(Route& route, double told, const Call* failed) {
   if (in_slow_start(route) || route.failing_since < never) return;
   double own = route.calls.per_second(now_);
@@ -22,18 +21,20 @@
   route.rate_before_outage = std::max({0.0, told, own});
 }
 
-// Where all relays were told the same moment, they do not call in the same instant.
+// Starts with a random token level: where all relays were told the same moment, they must not call at the same
+// instant.
 void Decider::begin_slow_start(Route& route, Millis since) {
   route.slow_start_since = since, mark_for_persistence(route);
   route.refilled_at = std::max(now_, since), route.tokens = uniform(0, 1);
 }
 
-// Calls a second that this relay allows itself on a route; limits are shared with relays unseen.
+// Calls per second that this relay allows itself on a route. Rate limits are shared with all other relays.
 double Decider::allowed_rate(Route& route) {
   double rate = never, part = 1.0 / settings_.relays;
   if (route.rate_limit > 0) {
-    // The relay's own part of the limit; more only while fresh hints say that the others leave room. While
-    // none tell, half of it: a clump is one relay's, and refusals cut the pace where others were there too.
+    // The relay's own part of the limit, and more only while fresh hints say that the others leave some of it. With
+// no fresh hints half of the whole limit: a burst is mostly one relay's, and refusals cut the rate where
+// others burst too.
     bool fresh = now_ < route.load_hints_at + 1500;
     double spare = fresh ? std::clamp((route.remaining_share - spare_limit_share) / 0.4, 0.0, 1.0) : 0;
     double held = fresh ? std::clamp(0.5 + route.remaining_share / 0.4, 0.5, 1.0) : 1;
@@ -48,13 +49,13 @@
   return rate;
 }
 
-// What a destination in slow start bears from this relay, in calls a second at this age of its return.
+// Calls per second that a destination takes from this relay at this age of its slow start.
 double Decider::slow_start_rate(const Route& route, Millis age) const {
   return slow_start_.rate({route.rate_before_outage, route.rate_limit}, age);
 }
 
-// After a first failure, which is mostly chance, a relay that hardly ever calls there goes by that one
-// call.
+// After a first failure, which is mostly chance, the rate of a relay that hardly ever calls there is taken from
+// that one call.
 double Decider::suspected_rate(Route& route) {
   if (std::max(route.consecutive_failures, route.consecutive_refusals) > 1) return slow_start_rate(route, 0);
   double own_rate = std::max(route.rate_before_outage, 0.5 * route.calls.weight_per_second(0));
@@ -62,9 +63,9 @@
   return slow_start_.rate({own_rate, route.rate_limit}, age);
 }
 
-// A destination whose calls fail may be out, and may return at any moment: until a call is answered it gets
-// what it would bear at its return. A first failure alone is mostly chance, so the pace grows after it. In
-// slow start a single refusal is enough.
+// A destination whose calls fail may be down, and may recover at any moment: until a call is answered it gets the
+// rate that it takes at the start of slow start. A first failure alone is mostly chance, so the rate grows after it.
+// During slow start a single refusal is enough.
 bool Decider::is_suspected(Route& route) {
   if (settings_.relays <= 1 || route.breaker != BreakerState::closed || route.failing_since >= never)
     return false;
@@ -72,15 +73,15 @@
          (in_slow_start(route) && route.consecutive_refusals > 0);
 }
 
-// Refusals without a reason: a met limit, or a shut destination. A limit's span tells them apart, but only
-// for a relay that calls several times within it.
+// Refusals without hints mean a met rate limit or an outage. A streak longer than a limit's window means an outage,
+// but only a relay that calls several times within the window can tell; for others two refusals are enough.
 bool Decider::refuses_persistently(const Route& route) const {
   bool calls_seldom = route.rate_before_outage * max_limit_window < 1000;
   return route.consecutive_refusals > 1 &&
          (calls_seldom || route.rate_reduced_at - route.failing_since > max_limit_window);
 }
 
-// Calls that the pace allows now; a call takes one.
+// Refills the route's token bucket (capacity 1) at the allowed rate; a call takes one token.
 double Decider::available_tokens(Route& route) {
   route.tokens =
       std::min(1.0, route.tokens + allowed_rate(route) * std::max(0.0, now_ - route.refilled_at) / 1000);
@@ -88,7 +89,8 @@
   return route.tokens;
 }
 
-// Rules 3, 4 and 6 and the caps: when a call may go on this route; never: an event must come first.
+// When the next call may go to this route by its Retry-After, breaker, concurrency cap and rate; never: not before
+// some event.
 Millis Decider::next_call_at(Route& route) {
   if (now_ < route.retry_after_until) return route.retry_after_until;
   if (route.breaker == BreakerState::open) return route.next_trial_at;
--- a/src/decision/retry_schedule.cpp
+++ b/src/decision/retry_schedule.cpp
@@ -1,5 +1,4 @@
-// When an attempt may be repeated, and how long it may take: the backoff, and the rule that no effect is had
-// twice.
+// Whether a document may be transmitted again without a second effect, and the timeout of a transmission.
 #include <algorithm>
 
 #include "decision/decider.h"
@@ -22,7 +21,7 @@
 Millis Decider::call_timeout(const Doc& doc, Route& route) {
   Millis left = doc.expiry - expiry_margin() - now_;
   if (doc.type->retry_safety == RetrySafety::unsafe)
-    return left;  // a time-out would only make its outcome unknown
+    return left;  // a timeout would only make its outcome unknown
   return std::min(left, std::max(1500.0, std::max(doc.type->target_latency, 6 * usual_duration(route)) *
                                              route.timeout_factor));
 }
--- a/src/decision/route_status.cpp
+++ b/src/decision/route_status.cpp
@@ -1,5 +1,4 @@
-// What is known of routes, as it is told to other relays and to this relay's next process, and learnt from
-// them.
+// Route status exchanged with other relays, and kept for this relay's next process.
 #include <algorithm>
 #include <utility>
 
@@ -31,9 +30,10 @@
   return kept;
 }
 
-// Counts as if seen here then, where nothing newer was. A route that the list has not named gets no call by
-// it, and is forgotten as a document of now would be. Well elsewhere, while it is shut here: its trial goes
-// sooner, at a moment drawn from what a cold destination bears of this relay.
+// Applies a status as if it had been seen here at that time, unless something newer is known. A route that the
+// endpoint list has not named gets no call by it, and is forgotten after the longest document lifetime. Where the
+// route is healthy elsewhere while its breaker is open here, the trial call is moved forward, to a moment drawn from
+// the slow-start rate of this relay.
 void Decider::apply_route_status(const RouteStatus& k) {
   RouteKey key{k.per_endpoint, k.route};
   if (!routes_.count(key) && routes_.size() > endpoints_.size() + max_unlisted_routes) return;
@@ -44,7 +44,7 @@
   Millis back = route.slow_start_since > now_ ? -never : route.slow_start_since,
          oldest = now_ - max_lifetime_;
   route.id = k.route, route.learned_at = now_;
-  // Another relay's refusal is one more, in a row with this relay's own.
+  // Another relay's refusal extends this relay's streak of refusals.
   if (k.rate_limit > 0 && k.remaining_share < 0.1 && met > route.answered_at &&
       route.consecutive_refusals > 0)
     ++route.consecutive_refusals;
@@ -53,9 +53,9 @@
   if (k.retry_after_left > 0 && until > route.retry_after_until)
     apply_retry_after(route, route.learned_retry_after_until = until,
                       k.remaining_share < 0.1 && now_ < met + max_limit_window);
-  // Another relay's rate says nothing of this one's part.
+  // Another relay's rate says nothing about this relay's part.
   double own_rate = k.from_this_relay ? k.rate_before_outage : 0;
-  // Of relays that return one after another each tells of its own trial: the first word of a return counts.
+  // Relays that find a recovery one after another each report their own trial call: the first report counts.
   if (k.state == RouteState::recovering && !recovery_is_known(route) &&
       seen > std::max(back, now_ - settings_.warm_up_time))
     record_rate_before_outage(route, own_rate), begin_slow_start(route, seen);
@@ -65,7 +65,7 @@
   } else if (k.state != RouteState::down && route.breaker == BreakerState::open &&
              seen > route.down_seen_at) {
     route.down_seen_at = seen;
-    // Once for each outage: the soonest of many draws would be no moment drawn at random.
+    // Once per outage: the minimum of many draws would not be spread at random.
     if (std::exchange(route.trial_advanced_at, now_) < route.opened_at) {
       Millis age = k.state == RouteState::recovering ? std::min(k.state_age, settings_.warm_up_time) : 0;
       route.next_trial_at =
--- a/src/decision/sending.cpp
+++ b/src/decision/sending.cpp
@@ -1,5 +1,5 @@
-// The one way on which calls leave the module: the choice of an endpoint, the checks before a send, and those
-// made again when its connection is up.
+// Sends transmissions: the choice of an endpoint, batching, the checks before a send, and those repeated once the
+// connection is up.
 #include <algorithm>
 #include <string>
 
@@ -7,7 +7,8 @@
 
 namespace rockcrank::internal {
 
-// Rules 3 and 6 hold for the moment of sending too. Calls that are up wait for a slot before any new one.
+// Endpoint status and Retry-After are checked again at the moment of sending. Calls whose connection is up get a
+// slot before any new call.
 SendPermission Decider::may_send(DocId doc, int transmission) {
   auto found = in_flight_.find({doc, transmission});
   if (found == in_flight_.end()) return SendPermission::never;
@@ -25,20 +26,20 @@
   return SendPermission::now;
 }
 
-// What came between a call's choice and the moment at which its connection is up, or null.
+// Why a chosen call must not be sent although its connection is up now, or null.
 const char* Decider::reason_not_to_send(const Call& call, std::uint64_t number) {
   if (now_ < call.route->retry_after_until) return "told_wait";
   if (!call.endpoint->accepts_calls()) return "closed_endpoint";
   if (went_down_since_chosen(call)) return "slow_start";
-  // Guards against connections that come up late: by then the destination may have forgotten a mark.
+  // Where a connection comes up late, the destination may have forgotten an idempotency key by then.
   for (const auto& [transmission, entry] : in_flight_)
     if (auto held = docs_.find(transmission.first); std::get<0>(entry) == number)
       if (held != docs_.end() && !retry_is_safe(held->second, now_)) return "window";
   return nullptr;
 }
 
-// Guards against a call chosen before its destination was known to be out or in slow start, whose
-// connection comes up later: the destination's pace has no room for it.
+// Whether the destination was found down, or in slow start, only after the call was chosen, while its connection was
+// coming up, and the present rate does not allow the call.
 bool Decider::went_down_since_chosen(const Call& call) {
   Route& route = *call.route;
   if (call.stage == CallStage::started) return false;
@@ -49,15 +50,15 @@
   return since_chosen && next_call_at(route) > now_;
 }
 
-// Guards against calls that break the more often, the more documents they carry: one carries no more than
-// were lately answered there for each call that broke, so that about half of such calls get through.
+// Limits batches where calls lose their connection more often the more documents they carry: a call carries no more
+// documents than were recently answered per lost call, so that about half of such calls get through.
 int Decider::current_batch_limit(Route& route) {
   double broke = route.lost_connections.value(now_),
          most = broke > 0.1 ? route.answered_documents.value(now_) / broke : never;
   return static_cast<int>(std::clamp(most, 1.0, 1.0 * route.max_batch_size));
 }
 
-// What goes there in this turn, with a trial too, travels in the call opened; beyond its most it waits.
+// The call opened to this endpoint in the present turn, a trial call too, or null where its batch is full.
 Call* Decider::batch_of_turn(const Endpoint& endpoint) {
   auto bundle = batches_of_turn_.find(endpoint.id);
   Call* call = bundle == batches_of_turn_.end() ? nullptr : &calls_[bundle->second];
@@ -69,14 +70,15 @@
   return call && call->document_count < current_batch_limit(*endpoint.route);
 }
 
-// First in rank until it has enough, then the next; failing ones rest while another can take the document.
+// The first endpoint by rank that can take the document. Endpoints with recent failures are used only while no other
+// one can take it.
 Endpoint* Decider::choose_endpoint(const Doc& doc, int slots) {
   Endpoint* best = nullptr;
   auto burden = [&](const Endpoint& e) {
     return std::tuple(!can_join_batch(e), now_<e.deprioritized_until, e.consecutive_failures> 0,
                       e.calls_in_flight);
   };
-  bool shut = true;  // for other documents too
+  bool shut = true;  // for every document of the destination
   for (Endpoint* e : doc.destination->ranked_endpoints) {
     if (!e->accepts_calls()) continue;
     bool free = slots_taken() < slots && !batch_of_turn(*e) && now_ >= capacity_free_at(*e) &&
@@ -84,8 +86,8 @@
     if (!free && !can_join_batch(*e)) continue;
     shut = false;
     if (!may_transmit_to(doc, *e)) continue;
-    // A trial may end without an outcome: no binding document is risked while a harmless one waits there,
-    // or with those that go already.
+    // A trial call may end without a known outcome: no unsafe document is sent with it while a retry-safe one waits,
+// or in one batch with others.
     bool binding = doc.type->retry_safety == RetrySafety::unsafe,
          trial = e->route->breaker != BreakerState::closed;
     if (binding && trial && batch_of_turn(*e)) continue;
@@ -125,7 +127,7 @@
   ++doc.transmissions, ++doc.in_flight;
 }
 
-// The run-time check of a send, at the moment of its decision or, once more, of its writing.
+// Run-time invariant checks when a transmission is decided; check_write() runs again when it is written.
 void Decider::check_send(const Doc& doc, const Endpoint& endpoint, bool new_call) {
   Route& route = *endpoint.route;
   if (new_call) {
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -1,4 +1,4 @@
-// The division of the fleet's budget; slow_start.h says what it is for.
+// Division of the fleet's slow-start budget among its relays.
 #include "decision/slow_start.h"
 
 #include <algorithm>
@@ -7,17 +7,16 @@
 namespace rockcrank {
 namespace {
 
-// Of the allowed multiple. With the sums of full_rate() and a capacity that is a little more than the limit,
-// the calls of all relays come to 0.72 to 0.83 of what is allowed in the mean. The rest, with the slack for
-// chance that the rule adds, is for spans that hold more: relays that decide alone call at random moments.
+// Used part of the overload multiple. With the sums of full_rate() and a capacity a little above the limit, the calls
+// of all relays come to 0.72 to 0.83 of what is allowed in the mean. The rest, with the slack for chance that the rule
+// adds, covers windows that hold more: relays that decide alone call at random moments.
 constexpr double budget_utilization = 0.83;
-// All relays together try a destination at least once in this time.
+// All relays together call a destination at least once in this time.
 constexpr double seconds_between_trials = 1;
-// After the slow start the rate of each relay doubles each time this has passed, from this on at the least.
+// After slow start the rate of each relay doubles in each of these periods, starting from at least min_ramp_rate.
 constexpr Millis ramp_doubling_time = 500;
 constexpr double min_ramp_rate = 1;
-// A relay's own part may go beyond its steady rate by the calls of one moment: the credit for one call, a
-// trial, and the calls that follow it.
+// A relay may exceed its steady rate by a burst: one token, a trial call and the confirming calls.
 constexpr double burst_calls = 5;
 
 }  // namespace
@@ -33,10 +32,9 @@
   return start_capacity_ + (1 - start_capacity_) * std::clamp(age / warm_up_time_, 0.0, 1.0);
 }
 
-// Where the limit is known: an equal part of it, and half of what a relay that calls more often went beyond
-// that. Over the fleet the parts sum to the limit and the halves to no more than half of the traffic, however
-// it is spread, so the sum stays under one and a half times the limit. Where no limit is known the relays'
-// own rates sum to the traffic.
+// With a known limit: an equal part of it, and half of what this relay called above that part. Over the fleet the
+// parts sum to the limit and the halves to at most half of the traffic, however it is spread, so the sum stays under
+// one and a half times the limit. With no known limit the relays' own rates sum to the traffic.
 double SlowStart::full_rate(const SlowStartInput& input) const {
   if (input.limit <= 0) return input.own_rate;
   double part = input.limit / relays_;
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -1,6 +1,6 @@
-// Slow start: how much a destination that returns from an outage, or may be about to, gets from one relay.
-// Each relay decides alone, so the budget of the whole fleet is divided here: the sum over all relays stays
-// under what the settings allow, whatever each of them knows. docs/design.md has the derivation.
+// Slow start: the rate at which one relay calls a destination that recovers from an outage, or may be about to. Each
+// relay decides alone, so the budget of the whole fleet is divided here: the sum over all relays stays under what the
+// settings allow, whatever each of them knows. docs/design.md has the derivation.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +10,24 @@
 
 namespace rockcrank {
 
-// What one relay knows of a destination when it works out its part.
+// What one relay knows about a destination when it computes its part.
 struct SlowStartInput {
-  double own_rate = 0;  // calls a second of this relay before the outage, those that failed not counted
-  double limit = 0;     // calls a second that the destination takes from all relays; 0: not known
+  double own_rate = 0;  // calls per second of this relay before the outage, without failed ones
+  double limit = 0;     // calls per second that the destination takes from all relays; 0: unknown
 };
 
 class SlowStart {
  public:
-  // After the slow start the rate still opens step by step: what was held back must not go at once, as the
-  // age of the return is each relay's own estimate.
+  // After slow start the rate still ramps up: what was held back must not be sent at once, as the time of the recovery
+// is each relay's own estimate.
   static constexpr Millis ramp_time = 5000;
 
   explicit SlowStart(const Settings& settings);
 
-  // Calls a second that this relay may send at this age of the return; at age 0 also while the destination
-  // may still be out.
+  // Calls per second that this relay may send at this age of the slow start; age 0 applies too while the destination
+// may still be down.
   double rate(const SlowStartInput& input, Millis age) const;
-  // The share of its capacity that the destination has at this age, at the least.
+  // Lower bound of the share of its capacity that the destination has at this age.
   double capacity_share(Millis age) const;
 
  private:
@@ -35,16 +35,15 @@
 
   double relays_;
   double start_capacity_;
-  double allowed_multiple_;  // of the warm capacity, at an age at which all of it is there
+  double allowed_multiple_;  // of the full capacity, once all of it is there
   Millis warm_up_time_;
 };
 
-// Counts at run time the sends that go beyond this relay's part: an independent check of the guard above. It
-// decides nothing.
+// Run-time check of slow start, independent of the code that decides: finds calls beyond this relay's part.
 class SlowStartMonitor {
  public:
-  // A call goes to a destination in slow start, whose rate is so many calls a second now. True: within the
-  // fall time more calls went than this relay's part allows.
+  // Records a call to a destination in slow start, at the rate (calls per second) allowed now. Returns true if more
+// calls were sent within the overload window than this relay's part allows.
   bool record_call(Millis now, double rate, Millis fall_time);
 
  private:
--- a/src/decision/state_archive.h
+++ b/src/decision/state_archive.h
@@ -1,6 +1,5 @@
-// Owns how the module's state is put into a text and read from it again, for the process that takes this
-// one's place. It knows no field by itself: each type lists its own in fields(). It must never decide, nor
-// make up what is not there: a text that does not fit throws.
+// Serializes the state of the decision module to CBOR for the process that replaces this one, and reads it back. Each
+// type lists its members in fields(). Reading throws where the data does not fit; nothing gets a default.
 #pragma once
 
 #include <cstdint>
@@ -42,7 +41,7 @@
     from_json(json_.at("parts"), parts);
   }
 
-  // One of a list of things, with what tells where it belongs.
+  // Appends an item to a named list, with the key that says where it belongs.
   template <typename Where, typename Thing>
   void append(const char* list, Where where, Thing& thing) {
     json_[list].push_back(Json::array({to_json(where), to_json(thing)}));
