--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -38,8 +38,8 @@
   return destinations_.count(at) && !destinations_.at(at).ranked_endpoints.empty();
 }
 
-// Retry-After for a document that is not accepted: the first backoff step, or the time until the destination may
-// take a call, if that is longer.
+// Retry-After for a document that is not accepted: the first backoff step, or the time until the destination
+// may take a call, if that is longer.
 Millis Decider::retry_after(DestinationId id) {
   Millis free = has_destination(id) ? next_call_at(destinations_[id]) : never, pause = jittered(backoff_base);
   return std::min(settings_.max_retry_after, free < never ? std::max(pause, free - now_) : pause);
@@ -52,8 +52,9 @@
 }
 
 // Documents that can still meet their target latency go first, then late ones, then those that have lost all
-// the value they can lose, then those over their tenant's share. Within a stage the most valuable goes first; ties
-// go to the earliest soft deadline (stage 0), the latest one (stage 1) or the earliest expiry (stages 2 and 3).
+// the value they can lose, then those over their tenant's share. Within a stage the most valuable goes first;
+// ties go to the earliest soft deadline (stage 0), the latest one (stage 1) or the earliest expiry (stages 2
+// and 3).
 Priority Decider::priority_of(const Doc& doc) {
   // An ordered document blocks those of its key behind it, so it counts for all of them.
   double held_up = doc.ordered ? static_cast<double>(key_queues_[doc.key].waiting.size()) : 1;
@@ -67,15 +68,16 @@
 }
 
 bool Decider::is_exhausted(Doc& doc) {
-  // A document whose destination must wait past its expiry can no longer be sent, whichever call was told to wait.
+  // A document whose destination must wait past its expiry can no longer be sent, whichever call was told to
+  // wait.
   bool late = doc.transmissions >= doc.max_transmissions ||
               std::max(doc.not_before, doc.destination->retry_after_until) >= doc.expiry - expiry_margin();
   return doc.in_flight == 0 && (late || !may_transmit_again(doc, std::max(now_, doc.not_before)));
 }
 
 void Decider::end_document(Doc& doc) {
-  Millis wait =
-      std::min(next_call_at(*doc.destination) - now_, settings_.max_retry_after);  // Retry-After for the client
+  Millis wait = std::min(next_call_at(*doc.destination) - now_,
+                         settings_.max_retry_after);  // Retry-After for the client
   bool rejected = may_reject(doc);
   if (rejected) actions_.rejected.push_back({doc.id, wait});
   else actions_.abandoned.push_back(doc.id);
@@ -104,8 +106,9 @@
   actions_.log.push_back(text);
 }
 
-// At capacity new documents are turned away, as when a busy destination is down. To keep a tenth of the capacity
-// free, documents that have lost all the value they can lose are rejected, those nearest to their expiry first.
+// At capacity new documents are turned away, as when a busy destination is down. To keep a tenth of the
+// capacity free, documents that have lost all the value they can lose are rejected, those nearest to their
+// expiry first.
 bool Decider::must_make_room(Doc& doc) {
   // Documents recovered at a restart are not shed, even where they exceed the present capacity.
   double most = std::max(0.9 * settings_.max_documents, static_cast<double>(documents_at_start_));
--- a/src/decision/circuit_breaker.cpp
+++ b/src/decision/circuit_breaker.cpp
@@ -1,5 +1,5 @@
-// The circuit breaker of a route: consecutive failures open it, an answered trial call closes it step by step, and
-// a Retry-After keeps calls back.
+// The circuit breaker of a route: consecutive failures open it, an answered trial call closes it step by
+// step, and a Retry-After keeps calls back.
 #include <algorithm>
 #include <cmath>
 
@@ -19,7 +19,8 @@
   // The token bucket starts at a random level, so that relays that failed together do not retry together.
   if (first && is_suspected(route)) route.tokens = uniform(0, 1), route.refilled_at = now_;
   route.last_failure_at = now_, mark_for_persistence(route);
-  // A refusal alone means that the rate limit is met; only a streak longer than a limit's window means an outage.
+  // A refusal alone means that the rate limit is met; only a streak longer than a limit's window means an
+  // outage.
   bool shut = !waits && now_ - route.failing_since > max_limit_window;
   if (call.sent_at < route.opened_at || (refused && route.breaker == BreakerState::closed && !shut)) return;
   ++route.consecutive_failures;
@@ -27,8 +28,8 @@
     open_breaker(route);
 }
 
-// A Retry-After longer than any limit's window counts as an outage: the documents it kept back must not be sent in
-// a burst at its end. Returns whether peers have to be told.
+// A Retry-After longer than any limit's window counts as an outage: the documents it kept back must not be
+// sent in a burst at its end. Returns whether peers have to be told.
 bool Decider::apply_retry_after(Route& route, Millis until, bool limit_met) {
   if (until <= route.retry_after_until) return route.publish_pending;
   route.retry_after_until = until, mark_for_persistence(route);
@@ -48,13 +49,15 @@
   // A second outage during slow start: the time without calls must not count as warm-up time.
   bool silent_since_failure = (route.consecutive_failures > 0 || route.consecutive_refusals > 0) &&
                               now_ - route.failing_since > max_limit_window;
-  // An outage seen in any of these ways counts even where, on a relay that calls often, answers from before it
-// outweigh the failures.
+  // An outage seen in any of these ways counts even where, on a relay that calls often, answers from before
+  // it
+  // outweigh the failures.
   bool outage = shut || route.breaker != BreakerState::closed || failing > 0.5 ||
                 (in_slow_start(route) && silent_since_failure);
   route.consecutive_refusals = route.consecutive_failures = 0;
-  // Slow start counts from the answered trial call: the confirming calls must not restart it. Nor does an answer
-// restart it where the recovery is already known since the last failure, as from another relay.
+  // Slow start counts from the answered trial call: the confirming calls must not restart it. Nor does an
+  // answer
+  // restart it where the recovery is already known since the last failure, as from another relay.
   if (route.failing_since < never && outage && route.breaker != BreakerState::confirming &&
       !recovery_is_known(route)) {
     if (!in_slow_start(route))
@@ -86,9 +89,9 @@
                                         own > trial_delay ? std::min(draw_exponential(own), 2 * own) : 0);
 }
 
-// Five consecutive failures over all relays: a relay that calls seldom would not see five before the outage is
-// over, so its own threshold is its share of them. While single failures are mostly followed by answers, the
-// threshold is five of its own.
+// Five consecutive failures over all relays: a relay that calls seldom would not see five before the outage
+// is over, so its own threshold is its share of them. While single failures are mostly followed by answers,
+// the threshold is five of its own.
 int Decider::failure_threshold(Route& route) {
   if (lone_failures_.value(now_) >= repeated_failures_.value(now_)) return failures_to_open;
   double soon = 10 * std::max(route.rate_before_outage, route.calls.per_second(now_));
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -1,5 +1,5 @@
-// Concurrency limits: how many calls may be in flight, in total and at each route and endpoint, and which call is
-// canceled when healthy destinations need its slot.
+// Concurrency limits: how many calls may be in flight, in total and at each route and endpoint, and which
+// call is canceled when healthy destinations need its slot.
 #include <algorithm>
 
 #include "decision/decider.h"
@@ -24,8 +24,8 @@
   return (route.total_duration.value(now_) + 2 * lean) / (route.timed_calls.value(now_) + 2);
 }
 
-// When an endpoint whose connections or queue were full may take one more call: after full_endpoint_hold, or one more
-// per backoff step where it refuses calls when full.
+// When an endpoint whose connections or queue were full may take one more call: after full_endpoint_hold, or
+// one more per backoff step where it refuses calls when full.
 Millis Decider::capacity_free_at(const Endpoint& e) const {
   int more = std::max(0, e.calls_in_flight + 1 - e.concurrency_limit);
   Millis room =
@@ -33,15 +33,15 @@
   return std::max(room, now_ < e.online_at + settings_.warm_up_time ? e.not_before : -never);
 }
 
-// Calls far overdue at hung destinations hold slots that healthy destinations need. While a document waits only for
-// a slot, the most overdue call is canceled; an unsafe document on it cannot be sent again.
+// Calls far overdue at hung destinations hold slots that healthy destinations need. While a document waits
+// only for a slot, the most overdue call is canceled; an unsafe document on it cannot be sent again.
 bool Decider::needs_slot(Doc& doc) {
   if (!most_overdue_ || slots_taken() < settings_.slots || calls_canceled_ >= settings_.slots) return false;
   return std::get<0>(priority_of(doc)) < 2 && can_transmit_with(doc, settings_.slots + 1);
 }
 
-// Timeouts with hardly any late answers mean that destinations hang. Where late answers come too they are only
-// slow, and canceling would discard work that the destinations go on with.
+// Timeouts with hardly any late answers mean that destinations hang. Where late answers come too they are
+// only slow, and canceling would discard work that the destinations go on with.
 Call* Decider::find_most_overdue() {
   Call* worst = nullptr;
   if (!settings_.may_cancel) return worst;
--- a/src/decision/connections.cpp
+++ b/src/decision/connections.cpp
@@ -10,8 +10,8 @@
   if (found != in_flight_.end()) set_stage(calls_[std::get<0>(found->second)], CallStage::connecting);
 }
 
-// In a large fleet each relay opens one at most, closed again if unused. Where a connection cap was met, up to half
-// of the concurrency limit met.
+// In a large fleet each relay opens one at most, closed again if unused. Where a connection cap was met, up
+// to half of the concurrency limit met.
 bool Decider::may_preconnect(EndpointId id, int up) {
   auto found = endpoints_.find(id);
   if (found == endpoints_.end() || !found->second.accepts_calls() || sending_paused_ || shutdown_at_ < never)
@@ -31,8 +31,8 @@
   return true;
 }
 
-// How long an idle connection is kept: in a large fleet for the time in which min_connection_cap calls arrive there
-// from all relays.
+// How long an idle connection is kept: in a large fleet for the time in which min_connection_cap calls arrive
+// there from all relays.
 Millis Decider::idle_timeout(const Endpoint& e) {
   double own = e.route->calls.per_second(now_), limit = e.route->rate_limit;
   if (settings_.relays <= min_connection_cap)
@@ -40,8 +40,8 @@
   return 1000 * min_connection_cap / std::max(0.1, limit > 0 ? limit : own * settings_.relays);
 }
 
-// Whether the endpoint's idle connections are to be closed. This runs once per trial_delay, so it rounds by half
-// of that.
+// Whether the endpoint's idle connections are to be closed. This runs once per trial_delay, so it rounds by
+// half of that.
 bool Decider::should_close_idle(const Endpoint& e) {
   if (e.calls_in_flight > 0 || e.idle_since >= never) return false;
   return !e.accepts_calls() || now_ + trial_delay / 2 >= e.idle_since + idle_timeout(e);
--- a/src/decision/decider.h
+++ b/src/decision/decider.h
@@ -1,6 +1,5 @@
-// The module behind decision.h, in one class: each of its jobs has a file of its own in this folder. This
-// header is theirs alone; a host includes decision.h. docs/design.md says which parts are the design's and
-// under which condition each departure acts.
+// Implementation class of decision.h, internal to this folder; each of its jobs has a .cpp file of its own.
+// docs/design.md describes the design, and under which condition each departure from it applies.
 #pragma once
 
 #include <algorithm>
@@ -27,7 +26,7 @@
 struct Route : RouteBase {
   DecayingSum calls{15000}, recent_calls{2000}, successes{4000}, failures{4000}, completed_calls{10000},
       slow_calls{10000}, total_duration{8000}, timed_calls{8000}, answered_documents{8000},
-      lost_connections{8000};  // answered: documents; the others: calls
+      lost_connections{8000};  // answered_documents counts documents, the others calls
   auto fields() {
     return std::tuple_cat(RouteBase::fields(),
                           std::tie(calls, recent_calls, successes, failures, completed_calls, slow_calls,
@@ -41,14 +40,20 @@
 
 using namespace state;
 
-// The design's own values.
-constexpr Millis backoff_base = 500, trial_delay = 1000, slow_call_duration = 3000,
-                 max_discovery_delay = 3900;
-constexpr double backoff_jitter = 0.2, max_slot_share = 0.75, slow_call_share = 0.01;
-constexpr int failures_to_open = 5, confirming_calls = 3;
+// Values set by docs/design.md.
+constexpr Millis backoff_base = 500;
+constexpr Millis trial_delay = 1000;
+constexpr Millis slow_call_duration = 3000;
+constexpr Millis max_discovery_delay = 3900;
+constexpr double backoff_jitter = 0.2;
+constexpr double max_slot_share = 0.75;  // of the slots, at one route
+constexpr double slow_call_share = 0.01;
+constexpr int failures_to_open = 5;
+constexpr int confirming_calls = 3;
 
 class Decider final : public Decision {
-  // What is handed over as it is; settings, chance and what each turn finds anew is not.
+  // State that is handed over unchanged. Settings, the random generator and what each turn computes anew are
+  // not part of it.
   auto exported_fields() {
     return std::tie(routes_, key_queues_, in_flight_, endpoints_to_check_, offline_endpoints_,
                     last_idle_loss_route_, discovery_failures_, due_at_, forgot_unused_at_, max_lifetime_,
@@ -96,12 +101,14 @@
   Actions decide() override;
 
  private:
-  static constexpr Millis min_stall = 1000, max_limit_window = 2500, full_endpoint_hold = 5000,
-                          connection_cap_memory = 30000;
-  static constexpr int min_connection_cap = 5,
-                       max_unlisted_routes = 1000;  // connections, that any endpoint takes; routes
-  static constexpr double tenant_share_slack = 1.3,
-                          spare_limit_share = 0.3;  // left of a limit: enough for others
+  static constexpr Millis min_stall = 1000;         // a later turn than due by more is a stall of the relay
+  static constexpr Millis max_limit_window = 2500;  // longest period of a rate limit
+  static constexpr Millis full_endpoint_hold = 5000;
+  static constexpr Millis connection_cap_memory = 30000;
+  static constexpr int min_connection_cap = 5;  // any endpoint accepts so many connections
+  static constexpr int max_unlisted_routes = 1000;
+  static constexpr double tenant_share_slack = 1.3;
+  static constexpr double spare_limit_share = 0.3;  // enough left of a limit for other relays
 
   // Common
   double uniform(double low, double high) {
@@ -123,14 +130,14 @@
   // Admission and ends
   bool may_reject(const Doc& doc) const;
   Priority priority_of(const Doc& doc);
-  // Rule 1: a final answer before the client's time is up.
+  // Every document gets its final answer before its expiry.
   bool out_of_time(Doc& doc) { return now_ >= doc.expiry - expiry_margin(); }
   bool is_exhausted(Doc& doc);
   void end_document(Doc& doc);
   void record_end(const Doc& doc, bool rejected);
   bool must_make_room(Doc& doc);
 
-  // Knowledge
+  // Route status
   void mark_for_persistence(Route& route) { route.persist_pending = persist_pending_ = true; }
 
   // Outcomes
@@ -153,7 +160,7 @@
   void half_open(Route& route) { route.breaker = BreakerState::half_open; }
   bool reached_failure_threshold(Route& r);
 
-  // Pace and slow start
+  // Rate and slow start
   bool is_slow_start_limited(Route& route) { return in_slow_start(route) || is_suspected(route); }
   bool in_slow_start(const Route& route) const {
     return now_ < route.slow_start_since + settings_.warm_up_time;
@@ -181,7 +188,7 @@
     return std::max(1000.0, 5 * usual_duration(route)) * route.timeout_factor;
   }
   Millis capacity_free_at(const Endpoint& e) const;
-  // A call takes its slot once its connection is up; as many again may be connecting.
+  // A call takes its slot once its connection is up; as many calls again may be connecting.
   int slots_taken() const {
     return std::max(calls_in_flight_ - calls_connecting_, calls_in_flight_ - settings_.slots);
   }
@@ -197,7 +204,7 @@
   Millis draw_exponential(Millis mean) { return std::exponential_distribution<double>(1 / mean)(random_); }
   Millis jittered(Millis pause) { return pause * uniform(1 - backoff_jitter, 1 + backoff_jitter); }
   static Millis backoff(int failures) { return backoff_base * std::exp2(std::min(failures, 16) - 1); }
-  // Rule 2: no effect twice. The one place that allows a further transmission at a given time.
+  // The only place that allows a further transmission, so that no effect happens twice.
   bool may_transmit_again(const Doc& doc, Millis when) const {
     return doc.in_flight == 0 && retry_is_safe(doc, when);
   }
@@ -206,7 +213,7 @@
   Millis call_timeout(const Doc& doc, Route& route);
   bool is_ready(const Doc& doc) const { return doc.in_flight == 0 && now_ >= doc.not_before; }
 
-  // Message order
+  // Order of keyed documents
   bool is_next_of_key(const Doc& doc);
   Millis settled_at(const KeyQueue& lane) const { return std::max(lane.settled_at, all_keys_settled_at_); }
 
@@ -224,7 +231,8 @@
   void check_write(const Doc& doc, const Endpoint& endpoint);
   void check_invariant(Invariant invariant, bool holds, const Route& route, DocId doc);
 
-  // The rules: each a condition and an effect.
+  // The rules, in the order in which they are tried. The names of doc_rules are logged as the reason of an
+  // end.
   static constexpr Rule<Decider, Route> route_rules[] = {
       {"five failures in a row open", &Decider::reached_failure_threshold, &Decider::open_breaker},
       {"one trial after the pause", &Decider::trial_is_due, &Decider::half_open},
@@ -242,14 +250,21 @@
   std::deque<DocType> doc_types_;
   std::minstd_rand random_;
   Millis discovery_at_ = settings_.discovery_on_request ? 0 : never;
-  Millis now_ = 0, due_at_ = 0, shutdown_at_ = never, forgot_unused_at_ = 0, max_lifetime_ = 0,
-         max_idle_time_ = never;
+  Millis now_ = 0;
+  Millis due_at_ = 0;
+  Millis shutdown_at_ = never;
+  Millis forgot_unused_at_ = 0;
+  Millis max_lifetime_ = 0;
+  Millis max_idle_time_ = never;
   std::uint64_t last_sequence_ = 0, last_call_number_ = 0;
-  int discovery_failures_ = 0, calls_in_flight_ = 0, calls_connecting_ = 0, calls_started_ = 0,
-      calls_canceled_ = 0;        // freed: called off
-  Call* most_overdue_ = nullptr;  // the furthest, if any
-  bool sending_paused_ = false;   // another process may still send
-  bool persist_pending_ = true;   // routes may be marked so, as after a hand-over
+  int discovery_failures_ = 0;
+  int calls_in_flight_ = 0;
+  int calls_connecting_ = 0;
+  int calls_started_ = 0;
+  int calls_canceled_ = 0;
+  Call* most_overdue_ = nullptr;
+  bool sending_paused_ = false;  // another process may still send
+  bool persist_pending_ = true;  // true at first, as imported routes may be marked
   DecayingSum total_duration_{8000}, timed_calls_{8000}, late_answers_{8000}, hung_calls_{8000};
   std::map<RouteKey, Route> routes_;
   std::map<EndpointId, Endpoint> endpoints_;
@@ -258,19 +273,22 @@
   std::map<KeyId, KeyQueue> key_queues_;
   std::map<std::uint64_t, Call> calls_;
   std::map<std::pair<DocId, int>, std::tuple<std::uint64_t, KeyId, bool>> in_flight_;
-  std::map<EndpointId, std::uint64_t> batches_of_turn_;  // the call opened this turn, by endpoint
+  std::map<EndpointId, std::uint64_t> batches_of_turn_;  // call number by endpoint
   std::vector<std::pair<DecayingSum, double>> tenant_shares_;
   std::vector<std::pair<Priority, Doc*>> by_priority_;
   Actions actions_;
   Counters counters_;
   Millis all_keys_settled_at_ = -never;
-  int documents_at_start_ = -1;    // documents that were there in the first turn
-  const char* current_rule_ = "";  // the rule that is being carried out
-  DecayingSum idle_connection_losses_{30000}, connect_failures_{30000}, lone_failures_{20000},
-      repeated_failures_{20000};  // again: see count
-  std::set<EndpointId> endpoints_to_check_,
-      offline_endpoints_;  // calls there ended this turn; taken out by staff, listed or not
-  std::optional<std::uint64_t> last_idle_loss_route_;  // the route
+  int documents_at_start_ = -1;    // documents held in the first turn
+  const char* current_rule_ = "";  // name of the rule whose action runs
+  DecayingSum idle_connection_losses_{30000};
+  DecayingSum connect_failures_{30000};
+  // Single failures by the outcome of the next call to the route: answered, or failed again.
+  DecayingSum lone_failures_{20000};
+  DecayingSum repeated_failures_{20000};
+  std::set<EndpointId> endpoints_to_check_;  // for idle connections to close
+  std::set<EndpointId> offline_endpoints_;   // taken out of service by an operator, listed or not
+  std::optional<std::uint64_t> last_idle_loss_route_;
 };
 
 }  // namespace internal
--- a/src/decision/decision.cpp
+++ b/src/decision/decision.cpp
@@ -1,5 +1,5 @@
-// The turn of the decision module: decide() applies the ordered rules of decider.h until none fires. Also settings,
-// cleanup, and export and import of the state at a handover.
+// The turn of the decision module: decide() applies the ordered rules of decider.h until none fires. Also
+// settings, cleanup, and export and import of the state at a handover.
 #include "decision/decision.h"
 
 #include <algorithm>
@@ -32,8 +32,9 @@
 }
 
 void Decider::begin_turn(Millis now) {
-  // After a stall of the relay itself, retries that fell due meanwhile are spread again, so that they are not sent
-// at once.
+  // After a stall of the relay itself, retries that fell due meanwhile are spread again, so that they are not
+  // sent
+  // at once.
   if (now > due_at_ + min_stall && due_at_ > 0)
     for (auto& [id, doc] : docs_)
       if (doc.transmissions > 0 && doc.not_before <= now) doc.not_before = now + uniform(0, backoff_base);
@@ -45,8 +46,8 @@
   for (auto& [key, lane] : key_queues_) lane.unacknowledged_ends.erase(id);
 }
 
-// An endpoint that comes back online begins in slow start: its route where no other endpoint of it accepts calls,
-// else the endpoint alone.
+// An endpoint that comes back online begins in slow start: its route where no other endpoint of it accepts
+// calls, else the endpoint alone.
 void Decider::set_offline(EndpointId id, bool out) {
   if (!(out ? offline_endpoints_.insert(id).second : offline_endpoints_.erase(id) > 0) ||
       !endpoints_.count(id))
@@ -101,7 +102,8 @@
     for (Endpoint* e : to.ranked_endpoints)
       if (e->accepts_calls())
         to.retry_after_until = std::min(to.retry_after_until, e->route->retry_after_until);
-    if (to.retry_after_until >= never) to.retry_after_until = -never;  // no endpoint accepts calls: the list may be late
+    if (to.retry_after_until >= never)
+      to.retry_after_until = -never;  // no endpoint accepts calls: the list may be late
   }
   by_priority_.clear();
   for (auto& [id, doc] : docs_) {
@@ -112,7 +114,7 @@
   for (bool fired = true; fired;) {
     fired = false;
     // An overdue call counts as failed at once: a hung destination is detected before its calls time out, and
-// unsafe documents, which have no timeout, do not fill the slots.
+    // unsafe documents, which have no timeout, do not fill the slots.
     for (auto& [number, call] : calls_)
       if (!call.overdue && !call.counted && now_ >= call.sent_at + overdue_after(*call.route))
         call.overdue = true, record_failure(call, false, false);
@@ -130,9 +132,10 @@
           if (!docs_.count(id)) doc = nullptr;
         }
   }
-  // Endpoints cap their connections, idle ones included, and a relay that holds an idle one never notices the cap.
-// So the fleet keeps no more idle connections than any endpoint accepts, and none to an endpoint that accepts no
-// calls; at an endpoint that met its cap, unused connections are closed.
+  // Endpoints cap their connections, idle ones included, and a relay that holds an idle one never notices the
+  // cap.
+  // So the fleet keeps no more idle connections than any endpoint accepts, and none to an endpoint that
+  // accepts no calls; at an endpoint that met its cap, unused connections are closed.
   for (EndpointId id : std::exchange(endpoints_to_check_, {})) {
     Endpoint& e = endpoints_[id];
     if (should_close_idle(e)) actions_.closed_connections.push_back({id}), e.idle_since = never;
@@ -140,7 +143,9 @@
       actions_.closed_connections.push_back({id, trial_delay});
   }
   if (now_ >= forgot_unused_at_ + trial_delay) forget_unused();
-  Millis asked = settings_.local_discovery_agent ? backoff_base : trial_delay;  // a short wait, so that a lost long poll is noticed soon
+  Millis asked = settings_.local_discovery_agent
+                     ? backoff_base
+                     : trial_delay;  // a short wait, so that a lost long poll is noticed soon
   if (now_ >= discovery_at_) actions_.long_poll_wait = asked, discovery_at_ = never;
   actions_.discovery_timeout = settings_.local_discovery_agent ? backoff_base : 2.5 * trial_delay;
   due_at_ = next_due(), actions_.wake_in = due_at_ >= never ? -1 : std::max(0.0, due_at_ - now_);
@@ -154,8 +159,8 @@
   docs_.erase(doc.id);
 }
 
-// Bounds the memory of a long-running process: drops what no document can refer to any more. A route is kept while a
-// Retry-After, slow start or a peer's report binds it.
+// Bounds the memory of a long-running process: drops what no document can refer to any more. A route is kept
+// while a Retry-After, slow start or a peer's report binds it.
 void Decider::forget_unused() {
   forgot_unused_at_ = now_;
   for (auto& [id, e] : endpoints_) {
--- a/src/decision/decision.h
+++ b/src/decision/decision.h
@@ -77,8 +77,8 @@
   bool limits_from_discovery = false;
   Millis tick = 0;
   Millis connect_timeout = 0;
-  double overload_multiple =
-      1;  // of its capacity: more calls within overload_window overload a recovering destination
+  // More calls than this multiple of its capacity within overload_window overload a recovering destination.
+  double overload_multiple = 1;
   Millis overload_window = 0;
   double start_capacity = 1;              // share of its capacity at the start of a recovery
   Millis warm_up_time = 0;                // until all of it is there
@@ -247,8 +247,8 @@
   virtual void pause_sending(bool paused) = 0;
   // The previous process has ended and its last transmissions are not all known: they may still be running.
   virtual void previous_process_ended() = 0;
-  // The whole state, for the process that replaces this one on the same clock. import_state() throws
-  // std::exception where it cannot read the state; the object is not to be used then.
+  // The whole state, for the process that replaces this one on the same clock. Where import_state()
+  // cannot read it, it throws std::exception and has changed nothing that matters.
   virtual std::string export_state() = 0;
   virtual void import_state(const std::string& state) = 0;
   // The relay ends within this time; documents still held then wait for its restart.
--- a/src/decision/endpoint_list.cpp
+++ b/src/decision/endpoint_list.cpp
@@ -1,4 +1,5 @@
-// The endpoint list from discovery: which destinations and endpoints exist, and when discovery is called again.
+// The endpoint list from discovery: which destinations and endpoints exist, and when discovery is called
+// again.
 #include <algorithm>
 
 #include "decision/decider.h"
@@ -8,7 +9,8 @@
 void Decider::update_endpoints(const std::vector<EndpointEntry>& entries, bool whole) {
   discovery_failures_ = 0;
   if (discovery_at_ == 0)
-    discovery_at_ = now_ + uniform(0, discovery_spread());  // spread, as all relays may have started with a saved list
+    discovery_at_ =
+        now_ + uniform(0, discovery_spread());  // spread, as all relays may have started with a saved list
   if (whole)
     for (auto& [id, endpoint] : endpoints_)
       endpoint.status = EndpointStatus::gone, endpoints_to_check_.insert(id);
@@ -37,8 +39,8 @@
     endpoint.gone_at = endpoint.status == EndpointStatus::gone ? std::min(endpoint.gone_at, now_) : never;
 }
 
-// Prevents a thundering herd: with early retries discovery works on answers that come too late. The backoff covers
-// the time that all relays need one by one, but leaves discovery its 2 s of the protocol's 6 s.
+// Prevents a thundering herd: with early retries discovery works on answers that come too late. The backoff
+// covers the time that all relays need one by one, but leaves discovery its 2 s of the protocol's 6 s.
 void Decider::discovery_failed(bool turned_away, Millis took) {
   if (settings_.local_discovery_agent && !turned_away)
     return void(discovery_at_ = now_ + uniform(0, backoff_base));
--- a/src/decision/invariants.h
+++ b/src/decision/invariants.h
@@ -1,5 +1,6 @@
-// Run-time checks of the rules that the decision module must keep: each send and each end is checked once more,
-// independently of the code that decided it. A violation is counted and logged, and changes nothing else.
+// Run-time checks of the rules that the decision module must keep: each send and each end is checked once
+// more, independently of the code that decided it. A violation is counted and logged, and changes nothing
+// else.
 #pragma once
 
 #include <array>
--- a/src/decision/key_order.cpp
+++ b/src/decision/key_order.cpp
@@ -8,7 +8,8 @@
 bool Decider::is_next_of_key(const Doc& doc) {
   if (!doc.ordered) return true;
   const KeyQueue& lane = key_queues_[doc.key];
-  // An end counts once the platform has acknowledged its report, or the report could cross the next document's call.
+  // An end counts once the platform has acknowledged its report, or the report could cross the next
+  // document's call.
   bool first = *lane.waiting.begin() == doc.sequence && lane.unacknowledged_ends.empty();
   return first && (doc.transmissions > 0 || (lane.in_flight == 0 && now_ >= settled_at(lane)));
 }
--- a/src/decision/outcomes.cpp
+++ b/src/decision/outcomes.cpp
@@ -46,9 +46,10 @@
       doc.may_have_run_at = call.sent_at, doc.may_have_run_zone = call.endpoint->zone;
     if (got.completed) remove(doc);
     else {
-      // Exponential backoff with jitter: base x 2^(failures-1), also where no slot or socket was free. After a
-// refusal the jitter is 100%, counted from the end of a Retry-After, so that what was refused together is not
-// retried together.
+      // Exponential backoff with jitter: base x 2^(failures-1), also where no slot or socket was free. After
+      // a
+      // refusal the jitter is 100%, counted from the end of a Retry-After, so that what was refused together
+      // is not retried together.
       Millis pause = backoff(++doc.failures);
       doc.not_before =
           now_ + (got.result == TransmissionResult::refused ? uniform(0, 2) * pause : jittered(pause));
@@ -90,20 +91,23 @@
     if (call.sent_at >= route.opened_at) record_success(route);
     return;
   }
-  // At a connection cap some calls succeed; a dead endpoint answers none. An endpoint that refuses the first call
-// of a new connection and closes it has met its cap too, perhaps by connections of other relays. One that
-// refuses a call beside others, and reports no rate limit or a share of it left, has its queue full: a lower rate
-// would leave it idle.
+  // At a connection cap some calls succeed; a dead endpoint answers none. An endpoint that refuses the first
+  // call
+  // of a new connection and closes it has met its cap too, perhaps by connections of other relays. One that
+  // refuses a call beside others, and reports no rate limit or a share of it left, has its queue full: a
+  // lower rate would leave it idle.
   bool full = got.result == TransmissionResult::refused && got.retry_after <= 0 && got.hints.present &&
               (got.hints.rate_limit <= 0 || got.hints.remaining_share > spare_limit_share);
-  // In a large fleet the first connection refused at once may be due to connections that other relays hold. One
-// that never comes up means an outage, as does a second refused one, or one after any failure; then the first,
-// excused one counts too.
+  // In a large fleet the first connection refused at once may be due to connections that other relays hold.
+  // One
+  // that never comes up means an outage, as does a second refused one, or one after any failure; then the
+  // first, excused one counts too.
   bool missed = got.result == TransmissionResult::not_connected;
   bool beside = endpoint.calls_in_flight > 1 && call.sent_at - endpoint.answered_at < 2000;
   bool passed = settings_.relays > min_connection_cap && route.connection_cap_met_at > route.answered_at;
-  // Where the host reports connection idle times, an endpoint at its cap says so in an answer, and one that refuses
-// a connection or stays silent is down. So is one in slow start.
+  // Where the host reports connection idle times, an endpoint at its cap says so in an answer, and one that
+  // refuses
+  // a connection or stays silent is down. So is one in slow start.
   bool maybe_cap = missed && got.connection_idle_time < 0 && got.duration < 0.5 * settings_.connect_timeout &&
                    !in_slow_start(route);
   bool once = maybe_cap && settings_.relays > min_connection_cap &&
@@ -138,7 +142,8 @@
   if (got.result == TransmissionResult::connection_lost && got.connection_idle_time >= 0 &&
       idle_connection_losses_.value(now_) > 1.2)
     return;
-  // A lowered rate limit refuses for seconds on end too, but then the hints say that nothing is left: no outage.
+  // A lowered rate limit refuses for seconds on end too, but then the hints say that nothing is left: no
+  // outage.
   if (got.result == TransmissionResult::refused && limit_is_exhausted(got.hints)) return;
   if (!call.overdue) record_failure(call, got.result == TransmissionResult::refused, got.retry_after > 0);
 }
@@ -156,9 +161,9 @@
   actions_.log.push_back(text);
 }
 
-// Connections lost at one destination after another, each on a reused connection, mean that something on the path
-// drops idle connections. For a while connections idle for as long are closed before use; only then, as a new
-// connection costs.
+// Connections lost at one destination after another, each on a reused connection, mean that something on the
+// path drops idle connections. For a while connections idle for as long are closed before use; only then, as
+// a new connection costs.
 void Decider::record_idle_connection_loss(const Route& route, Millis idle) {
   if (idle > 500)
     max_idle_time_ = std::min(idle_connection_losses_.value(now_) < 0.2 ? never : max_idle_time_, 0.9 * idle);
--- a/src/decision/pacing.cpp
+++ b/src/decision/pacing.cpp
@@ -1,5 +1,5 @@
-// The rate at which this relay calls a route: its share of the rate limit, of the fleet's slow-start budget, and of
-// the budget for a destination that may be down.
+// The rate at which this relay calls a route: its share of the rate limit, of the fleet's slow-start budget,
+// and of the budget for a destination that may be down.
 #include <algorithm>
 #include <cmath>
 
@@ -12,8 +12,9 @@
   return in_slow_start(route) && route.slow_start_since > std::max(route.down_seen_at, route.last_failure_at);
 }
 
-// The relay's own rate before an outage, on which its slow start is based. The failed call itself is left out:
-// a relay that has just called would otherwise seem to call more often than it does, the more so the less it calls.
+// The relay's own rate before an outage, on which its slow start is based. The failed call itself is left
+// out: a relay that has just called would otherwise seem to call more often than it does, the more so the
+// less it calls.
 void Decider::record_rate_before_outage(Route& route, double told, const Call* failed) {
   if (in_slow_start(route) || route.failing_since < never) return;
   double own = route.calls.per_second(now_);
@@ -21,8 +22,8 @@
   route.rate_before_outage = std::max({0.0, told, own});
 }
 
-// Starts with a random token level: where all relays were told the same moment, they must not call at the same
-// instant.
+// Starts with a random token level: where all relays were told the same moment, they must not call at the
+// same instant.
 void Decider::begin_slow_start(Route& route, Millis since) {
   route.slow_start_since = since, mark_for_persistence(route);
   route.refilled_at = std::max(now_, since), route.tokens = uniform(0, 1);
@@ -32,9 +33,10 @@
 double Decider::allowed_rate(Route& route) {
   double rate = never, part = 1.0 / settings_.relays;
   if (route.rate_limit > 0) {
-    // The relay's own part of the limit, and more only while fresh hints say that the others leave some of it. With
-// no fresh hints half of the whole limit: a burst is mostly one relay's, and refusals cut the rate where
-// others burst too.
+    // The relay's own part of the limit, and more only while fresh hints say that the others leave some of
+    // it. With
+    // no fresh hints half of the whole limit: a burst is mostly one relay's, and refusals cut the rate where
+    // others burst too.
     bool fresh = now_ < route.load_hints_at + 1500;
     double spare = fresh ? std::clamp((route.remaining_share - spare_limit_share) / 0.4, 0.0, 1.0) : 0;
     double held = fresh ? std::clamp(0.5 + route.remaining_share / 0.4, 0.5, 1.0) : 1;
@@ -54,8 +56,8 @@
   return slow_start_.rate({route.rate_before_outage, route.rate_limit}, age);
 }
 
-// After a first failure, which is mostly chance, the rate of a relay that hardly ever calls there is taken from
-// that one call.
+// After a first failure, which is mostly chance, the rate of a relay that hardly ever calls there is taken
+// from that one call.
 double Decider::suspected_rate(Route& route) {
   if (std::max(route.consecutive_failures, route.consecutive_refusals) > 1) return slow_start_rate(route, 0);
   double own_rate = std::max(route.rate_before_outage, 0.5 * route.calls.weight_per_second(0));
@@ -63,9 +65,9 @@
   return slow_start_.rate({own_rate, route.rate_limit}, age);
 }
 
-// A destination whose calls fail may be down, and may recover at any moment: until a call is answered it gets the
-// rate that it takes at the start of slow start. A first failure alone is mostly chance, so the rate grows after it.
-// During slow start a single refusal is enough.
+// A destination whose calls fail may be down, and may recover at any moment: until a call is answered it gets
+// the rate that it takes at the start of slow start. A first failure alone is mostly chance, so the rate
+// grows after it. During slow start a single refusal is enough.
 bool Decider::is_suspected(Route& route) {
   if (settings_.relays <= 1 || route.breaker != BreakerState::closed || route.failing_since >= never)
     return false;
@@ -73,8 +75,9 @@
          (in_slow_start(route) && route.consecutive_refusals > 0);
 }
 
-// Refusals without hints mean a met rate limit or an outage. A streak longer than a limit's window means an outage,
-// but only a relay that calls several times within the window can tell; for others two refusals are enough.
+// Refusals without hints mean a met rate limit or an outage. A streak longer than a limit's window means an
+// outage, but only a relay that calls several times within the window can tell; for others two refusals are
+// enough.
 bool Decider::refuses_persistently(const Route& route) const {
   bool calls_seldom = route.rate_before_outage * max_limit_window < 1000;
   return route.consecutive_refusals > 1 &&
@@ -89,8 +92,8 @@
   return route.tokens;
 }
 
-// When the next call may go to this route by its Retry-After, breaker, concurrency cap and rate; never: not before
-// some event.
+// When the next call may go to this route by its Retry-After, breaker, concurrency cap and rate; never: not
+// before some event.
 Millis Decider::next_call_at(Route& route) {
   if (now_ < route.retry_after_until) return route.retry_after_until;
   if (route.breaker == BreakerState::open) return route.next_trial_at;
--- a/src/decision/route_status.cpp
+++ b/src/decision/route_status.cpp
@@ -30,10 +30,10 @@
   return kept;
 }
 
-// Applies a status as if it had been seen here at that time, unless something newer is known. A route that the
-// endpoint list has not named gets no call by it, and is forgotten after the longest document lifetime. Where the
-// route is healthy elsewhere while its breaker is open here, the trial call is moved forward, to a moment drawn from
-// the slow-start rate of this relay.
+// Applies a status as if it had been seen here at that time, unless something newer is known. A route that
+// the endpoint list has not named gets no call by it, and is forgotten after the longest document lifetime.
+// Where the route is healthy elsewhere while its breaker is open here, the trial call is moved forward, to a
+// moment drawn from the slow-start rate of this relay.
 void Decider::apply_route_status(const RouteStatus& k) {
   RouteKey key{k.per_endpoint, k.route};
   if (!routes_.count(key) && routes_.size() > endpoints_.size() + max_unlisted_routes) return;
--- a/src/decision/sending.cpp
+++ b/src/decision/sending.cpp
@@ -1,5 +1,5 @@
-// Sends transmissions: the choice of an endpoint, batching, the checks before a send, and those repeated once the
-// connection is up.
+// Sends transmissions: the choice of an endpoint, batching, the checks before a send, and those repeated once
+// the connection is up.
 #include <algorithm>
 #include <string>
 
@@ -7,8 +7,8 @@
 
 namespace rockcrank::internal {
 
-// Endpoint status and Retry-After are checked again at the moment of sending. Calls whose connection is up get a
-// slot before any new call.
+// Endpoint status and Retry-After are checked again at the moment of sending. Calls whose connection is up
+// get a slot before any new call.
 SendPermission Decider::may_send(DocId doc, int transmission) {
   auto found = in_flight_.find({doc, transmission});
   if (found == in_flight_.end()) return SendPermission::never;
@@ -38,8 +38,8 @@
   return nullptr;
 }
 
-// Whether the destination was found down, or in slow start, only after the call was chosen, while its connection was
-// coming up, and the present rate does not allow the call.
+// Whether the destination was found down, or in slow start, only after the call was chosen, while its
+// connection was coming up, and the present rate does not allow the call.
 bool Decider::went_down_since_chosen(const Call& call) {
   Route& route = *call.route;
   if (call.stage == CallStage::started) return false;
@@ -50,8 +50,8 @@
   return since_chosen && next_call_at(route) > now_;
 }
 
-// Limits batches where calls lose their connection more often the more documents they carry: a call carries no more
-// documents than were recently answered per lost call, so that about half of such calls get through.
+// Limits batches where calls lose their connection more often the more documents they carry: a call carries
+// no more documents than were recently answered per lost call, so that about half of such calls get through.
 int Decider::current_batch_limit(Route& route) {
   double broke = route.lost_connections.value(now_),
          most = broke > 0.1 ? route.answered_documents.value(now_) / broke : never;
@@ -70,8 +70,8 @@
   return call && call->document_count < current_batch_limit(*endpoint.route);
 }
 
-// The first endpoint by rank that can take the document. Endpoints with recent failures are used only while no other
-// one can take it.
+// The first endpoint by rank that can take the document. Endpoints with recent failures are used only while
+// no other one can take it.
 Endpoint* Decider::choose_endpoint(const Doc& doc, int slots) {
   Endpoint* best = nullptr;
   auto burden = [&](const Endpoint& e) {
@@ -86,8 +86,9 @@
     if (!free && !can_join_batch(*e)) continue;
     shut = false;
     if (!may_transmit_to(doc, *e)) continue;
-    // A trial call may end without a known outcome: no unsafe document is sent with it while a retry-safe one waits,
-// or in one batch with others.
+    // A trial call may end without a known outcome: no unsafe document is sent with it while a retry-safe one
+    // waits,
+    // or in one batch with others.
     bool binding = doc.type->retry_safety == RetrySafety::unsafe,
          trial = e->route->breaker != BreakerState::closed;
     if (binding && trial && batch_of_turn(*e)) continue;
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -7,13 +7,14 @@
 namespace rockcrank {
 namespace {
 
-// Used part of the overload multiple. With the sums of full_rate() and a capacity a little above the limit, the calls
-// of all relays come to 0.72 to 0.83 of what is allowed in the mean. The rest, with the slack for chance that the rule
-// adds, covers windows that hold more: relays that decide alone call at random moments.
+// Used part of the overload multiple. With the sums of full_rate() and a capacity a little above the limit,
+// the calls of all relays come to 0.72 to 0.83 of what is allowed in the mean. The rest, with the slack for
+// chance that the rule adds, covers windows that hold more: relays that decide alone call at random moments.
 constexpr double budget_utilization = 0.83;
 // All relays together call a destination at least once in this time.
 constexpr double seconds_between_trials = 1;
-// After slow start the rate of each relay doubles in each of these periods, starting from at least min_ramp_rate.
+// After slow start the rate of each relay doubles in each of these periods, starting from at least
+// min_ramp_rate.
 constexpr Millis ramp_doubling_time = 500;
 constexpr double min_ramp_rate = 1;
 // A relay may exceed its steady rate by a burst: one token, a trial call and the confirming calls.
@@ -32,9 +33,9 @@
   return start_capacity_ + (1 - start_capacity_) * std::clamp(age / warm_up_time_, 0.0, 1.0);
 }
 
-// With a known limit: an equal part of it, and half of what this relay called above that part. Over the fleet the
-// parts sum to the limit and the halves to at most half of the traffic, however it is spread, so the sum stays under
-// one and a half times the limit. With no known limit the relays' own rates sum to the traffic.
+// With a known limit: an equal part of it, and half of what this relay called above that part. Over the fleet
+// the parts sum to the limit and the halves to at most half of the traffic, however it is spread, so the sum
+// stays under one and a half times the limit. With no known limit the relays' own rates sum to the traffic.
 double SlowStart::full_rate(const SlowStartInput& input) const {
   if (input.limit <= 0) return input.own_rate;
   double part = input.limit / relays_;
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -1,6 +1,6 @@
-// Slow start: the rate at which one relay calls a destination that recovers from an outage, or may be about to. Each
-// relay decides alone, so the budget of the whole fleet is divided here: the sum over all relays stays under what the
-// settings allow, whatever each of them knows. docs/design.md has the derivation.
+// Slow start: the rate at which one relay calls a destination that recovers from an outage, or may be about
+// to. Each relay decides alone, so the budget of the whole fleet is divided here: the sum over all relays
+// stays under what the settings allow, whatever each of them knows. docs/design.md has the derivation.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +18,16 @@
 
 class SlowStart {
  public:
-  // After slow start the rate still ramps up: what was held back must not be sent at once, as the time of the recovery
-// is each relay's own estimate.
+  // After slow start the rate still ramps up: what was held back must not be sent at once, as the time of the
+  // recovery
+  // is each relay's own estimate.
   static constexpr Millis ramp_time = 5000;
 
   explicit SlowStart(const Settings& settings);
 
-  // Calls per second that this relay may send at this age of the slow start; age 0 applies too while the destination
-// may still be down.
+  // Calls per second that this relay may send at this age of the slow start; age 0 applies too while the
+  // destination
+  // may still be down.
   double rate(const SlowStartInput& input, Millis age) const;
   // Lower bound of the share of its capacity that the destination has at this age.
   double capacity_share(Millis age) const;
@@ -42,8 +44,9 @@
 // Run-time check of slow start, independent of the code that decides: finds calls beyond this relay's part.
 class SlowStartMonitor {
  public:
-  // Records a call to a destination in slow start, at the rate (calls per second) allowed now. Returns true if more
-// calls were sent within the overload window than this relay's part allows.
+  // Records a call to a destination in slow start, at the rate (calls per second) allowed now. Returns true
+  // if more
+  // calls were sent within the overload window than this relay's part allows.
   bool record_call(Millis now, double rate, Millis fall_time);
 
  private:
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -1,5 +1,6 @@
-// Owns the types in which the decision module keeps what it knows of endpoints, calls and documents, and the
-// sum that fades. It must never decide, nor hold a value that a decision depends on.
+// State of the decision module: routes, endpoints, calls, destinations, documents and key queues, and the
+// decaying sum used for rates. These types decide nothing and contain no tuning constants. Their fields()
+// lists are the handover format.
 #pragma once
 
 #include <algorithm>
@@ -21,12 +22,13 @@
 constexpr Millis never = 1e18;
 
 enum class BreakerState { closed, open, half_open, confirming };
-struct Route;                                     // the module's own, with the spans of its sums
-using RouteKey = std::pair<bool, std::uint64_t>;  // whether one endpoint; its id or the destination's
+struct Route;  // in decider.h, with the time constants of its sums
+// Whether the route is one endpoint; the id of the endpoint or the destination.
+using RouteKey = std::pair<bool, std::uint64_t>;
 
-using Priority = std::tuple<int, double, double, std::uint64_t>;  // the smallest goes first
+using Priority = std::tuple<int, double, double, std::uint64_t>;  // the smallest first
 
-// One of an ordered list: a condition on a subject, and its effect.
+// A rule of an ordered list: a condition on a subject, and the action that follows.
 template <typename Decider, typename Subject>
 struct Rule {
   const char* name;
@@ -34,7 +36,7 @@
   void (Decider::*action)(Subject&);
 };
 
-// A sum that fades with its span, brought up to date when it is read.
+// An exponentially decaying sum with time constant span, updated when read.
 class DecayingSum {
  public:
   explicit DecayingSum(Millis span) : span_(span) {}
@@ -45,7 +47,7 @@
     return sum_;
   }
   double per_second(Millis now) { return value(now) * 1000 / span_; }
-  // What one thing added so long ago still counts for.
+  // What an amount of 1, added this long ago, still contributes to per_second().
   double weight_per_second(Millis ago) const { return std::exp(-ago / span_) * 1000 / span_; }
   auto fields() { return std::tie(at_, sum_); }
 
@@ -54,11 +56,12 @@
   double sum_ = 0;
 };
 
-// Of a route: what limits and outages apply to, a destination or one endpoint where its routes are apart.
+// A route is what rate limits and outages apply to: a destination, or one endpoint where each has its own
+// route.
 struct RouteBase {
   std::uint64_t id = 0;
   int max_batch_size = 1;
-  double rate_limit = 0, remaining_share = 1;  // calls a second from all relays, listed or told; 0: not known
+  double rate_limit = 0, remaining_share = 1;  // calls per second of all relays; 0: unknown
   Millis load_hints_at = -never, retry_after_until = -never;
   BreakerState breaker = BreakerState::closed;
   int endpoint_count = 0, consecutive_failures = 0, consecutive_refusals = 0, confirmations_left = 0,
@@ -66,14 +69,14 @@
   Millis opened_at = -never, next_trial_at = 0, failing_since = never, slow_start_since = -never;
   double rate_before_outage = 0, reduced_rate = 0, timeout_factor = 1, tokens = 1;
   Millis rate_reduced_at = -never, refilled_at = 0;
-  Millis answered_at = -never, connection_cap_met_at = -never;  // the last of its endpoints
-  Millis down_seen_at = -never;       // the newest failure that opened it, here or elsewhere
-  Millis last_failure_at = -never;    // the newest failure seen here
-  Millis trial_advanced_at = -never;  // its trial was drawn sooner, by what another relay told
+  Millis answered_at = -never, connection_cap_met_at = -never;  // latest of its endpoints
+  Millis down_seen_at = -never;       // latest failure that opened it, here or on another relay
+  Millis last_failure_at = -never;    // latest failure seen here
+  Millis trial_advanced_at = -never;  // when another relay's status moved its trial call forward
   Millis learned_at = -never,
-         learned_retry_after_until = -never;  // from another relay: anything; a told wait
+         learned_retry_after_until = -never;  // from other relays
   SlowStartMonitor slow_start_monitor;
-  bool publish_pending = false;  // for other relays
+  bool publish_pending = false;  // to other relays
   bool persist_pending = false;  // for this relay's next process
   auto fields() {
     return std::tie(id, max_batch_size, rate_limit, remaining_share, load_hints_at, retry_after_until,
@@ -88,7 +91,7 @@
     static const char* const names[] = {"closed", "open", "trial", "following"};
     return names[static_cast<int>(breaker)];
   }
-  // A line of the log: an event, and what goes with it, by name.
+  // A structured log line: an event with named values.
   using Field = std::pair<const char*, double>;
   std::string log_line(const char* event, std::initializer_list<Field> fields) const {
     char text[120];
@@ -105,8 +108,8 @@
     return std::max({retry_after_until, slow_start_since + warm, learned_at + memory});
   }
 
-  // As other relays are told: a met limit without hints has nothing left; a wait that another relay told is
-  // not told on, as on its way it would grow.
+  // The status for other relays. A limit met without hints has nothing left. A Retry-After learned from
+  // another relay is not passed on (unless all), as it would grow by the delay on the way.
   RouteStatus status(bool apart, Millis now, bool cold, bool all) const {
     RouteStatus to;
     to.per_endpoint = apart, to.route = id;
@@ -132,18 +135,17 @@
   EndpointId id{};
   DestinationId destination{};
   ZoneId zone{};
-  bool has_own_route = false;  // its route is its own
+  bool has_own_route = false;  // else it shares the route of its destination
   EndpointStatus status = EndpointStatus::ready;
-  bool offline = false;  // taken out by staff, whatever the list says
+  bool offline = false;  // taken out of service by an operator
   Route* route = nullptr;
   std::uint64_t rank = 0;
   int calls_in_flight = 0, consecutive_failures = 0,
-      concurrency_limit = 0;       // room: calls when it was last full
-  bool refuses_when_full = false;  // full, told by refusals, which cost little
+      concurrency_limit = 0;       // calls in flight when it was last full
+  bool refuses_when_full = false;  // by an answer, which costs little
   Millis deprioritized_until = -never, answered_at = -never, limit_met_at = -never,
-         connection_cap_met_at = -never, idle_since = never,
-         gone_at = never;                          // cap: of connections, idle ones counted
-  Millis online_at = -never, not_before = -never;  // put back by staff; the next call there not before
+         connection_cap_met_at = -never, idle_since = never, gone_at = never;
+  Millis online_at = -never, not_before = -never;  // last set online; earliest next call after that
   auto fields() {
     return std::tie(id, destination, zone, has_own_route, status, offline, rank, calls_in_flight,
                     consecutive_failures, concurrency_limit, refuses_when_full, deprioritized_until,
@@ -163,7 +165,7 @@
   Endpoint* endpoint = nullptr;
   Millis sent_at = 0;
   int document_count = 0;
-  Millis endpoint_idle_time = 0;  // how long the endpoint had had no call before this one
+  Millis endpoint_idle_time = 0;  // of the endpoint before this call
   bool counted = false, overdue = false, canceled = false;
   CallStage stage = CallStage::started;
   auto fields() {
@@ -176,12 +178,12 @@
   void add_endpoint(Endpoint* e) {
     ranked_endpoints.push_back(e), std::ranges::sort(ranked_endpoints, {}, &Endpoint::rank);
   }
-  int document_count = 0;             // held for it
-  int ready_retry_safe = 0;           // of those that could go now, the ones that may run again
-  Millis expected_duration = 0;       // the usual time of a call there
-  Millis retry_after_until = -never;  // told to wait, wherever it might go
-  bool blocked[2] = {},
-       has_ready_document = false;  // no endpoint takes a call, with the slots and with one more
+  int document_count = 0;
+  int ready_retry_safe = 0;  // documents ready to be sent whose type is not unsafe
+  Millis expected_duration = 0;
+  Millis retry_after_until = -never;  // earliest end over its endpoints
+  // No endpoint takes a call: with the configured slots, and with one more.
+  bool blocked[2] = {}, has_ready_document = false;
 };
 
 struct Doc {
@@ -194,7 +196,7 @@
   std::uint64_t sequence = 0;
   Millis soft_deadline = 0, expiry = 0, not_before = 0;
   int transmissions = 0, max_transmissions = 0, failures = 0, in_flight = 0;
-  Millis may_have_run_at = never;  // the send of the first transmission that may have run
+  Millis may_have_run_at = never;  // when the first transmission that may have run was sent
   ZoneId may_have_run_zone{};
   bool may_have_run() const { return may_have_run_at < never; }
   auto fields() {
@@ -204,10 +206,11 @@
   }
 };
 
-// Documents of one key, in the order taken; the key rests after an outcome that leaves the effect unknown.
+// The documents of one ordered key, by sequence. After an unknown outcome the next one waits until
+// settled_at.
 struct KeyQueue {
   std::set<std::uint64_t> waiting;
-  std::set<DocId> unacknowledged_ends;  // ended, but not over for the platform yet
+  std::set<DocId> unacknowledged_ends;  // ended here, not yet acknowledged by the platform
   int in_flight = 0;
   Millis settled_at = -never;
   auto fields() { return std::tie(waiting, unacknowledged_ends, in_flight, settled_at); }
@@ -216,7 +219,8 @@
   }
 };
 
-// A fixed order of endpoints, as if by chance.
+// Hash for rendezvous hashing: a fixed, evenly spread order of the endpoints of a destination (mixing steps
+// of splitmix64).
 inline std::uint64_t rendezvous_hash(std::uint64_t a, std::uint64_t b) {
   std::uint64_t x = a * 0x9e3779b97f4a7c15ULL + b;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
--- a/src/decision/state_archive.h
+++ b/src/decision/state_archive.h
@@ -1,5 +1,6 @@
-// Serializes the state of the decision module to CBOR for the process that replaces this one, and reads it back. Each
-// type lists its members in fields(). Reading throws where the data does not fit; nothing gets a default.
+// Serializes the state of the decision module to CBOR for the process that replaces this one, and reads it
+// back. Each type lists its members in fields(). Reading throws where the data does not fit; nothing gets a
+// default.
 #pragma once
 
 #include <cstdint>
