--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -7,42 +7,46 @@
 
 namespace rockcrank::internal {
 
-void Decider::accept(const Document& given) {
-  if (given.ended) return void(key_queues_[given.key].unacknowledged_ends.insert(given.id));
-  Doc& doc = docs_[given.id];
-  doc.destination_id = given.destination;
-  doc.id = given.id, doc.destination = &destinations_[given.destination], doc.expiry = now_ + given.time_left;
-  doc.type = &doc_types_[static_cast<std::size_t>(given.type)];
-  doc.max_transmissions = given.max_transmissions > 0 ? given.max_transmissions : settings_.max_transmissions;
+void Decider::accept(const Document& document) {
+  if (document.ended) return void(key_queues_[document.key].unacknowledged_ends.insert(document.id));
+  Doc& doc = docs_[document.id];
+  doc.destination_id = document.destination;
+  doc.id = document.id, doc.destination = &destinations_[document.destination],
+  doc.expiry = now_ + document.time_left;
+  doc.type = &doc_types_[static_cast<std::size_t>(document.type)];
+  doc.max_transmissions =
+      document.max_transmissions > 0 ? document.max_transmissions : settings_.max_transmissions;
   // A document accepted with less time left than its target latency is urgent, not late.
-  doc.soft_deadline = given.time_left < doc.type->target_latency && given.transmissions == 0
+  doc.soft_deadline = document.time_left < doc.type->target_latency && document.transmissions == 0
                           ? doc.expiry - expiry_margin()
                           : doc.expiry - doc.type->lifetime + doc.type->target_latency;
-  doc.sequence = ++last_sequence_, ++doc.destination->document_count, doc.key = given.key,
-  doc.transmissions = given.transmissions;
-  doc.ordered = doc.type->in_order && given.has_key;
+  doc.sequence = ++last_sequence_, ++doc.destination->document_count, doc.key = document.key,
+  doc.transmissions = document.transmissions;
+  doc.ordered = doc.type->in_order && document.has_key;
   if (doc.ordered) key_queues_[doc.key].waiting.insert(doc.sequence);
   // Recovered after a restart: a transmission in flight may have run, so its key has to settle.
-  if (given.may_have_run) {
-    doc.may_have_run_at = now_ - given.may_have_run_ago, doc.may_have_run_zone = given.may_have_run_zone;
+  if (document.may_have_run) {
+    doc.may_have_run_at = now_ - document.may_have_run_ago,
+    doc.may_have_run_zone = document.may_have_run_zone;
     if (doc.ordered) key_queues_[doc.key].settled_at = now_ + settings_.order_settle_time;
   }
-  if (auto tenant = static_cast<std::size_t>(given.tenant); tenant < tenant_shares_.size()) {
+  if (auto tenant = static_cast<std::size_t>(document.tenant); tenant < tenant_shares_.size()) {
     tenant_shares_[tenant].first.add(now_, 1);
     doc.over_tenant_share =
         tenant_shares_[tenant].first.per_second(now_) > tenant_shares_[tenant].second * tenant_share_slack;
   }
 }
 
-bool Decider::has_destination(DestinationId at) const {
-  return destinations_.count(at) && !destinations_.at(at).ranked_endpoints.empty();
+bool Decider::has_destination(DestinationId id) const {
+  return destinations_.count(id) && !destinations_.at(id).ranked_endpoints.empty();
 }
 
 // Retry-After for a document that is not accepted: the first backoff step, or the time until the destination
 // may take a call, if that is longer.
 Millis Decider::retry_after(DestinationId id) {
-  Millis free = has_destination(id) ? next_call_at(destinations_[id]) : never, pause = jittered(backoff_base);
-  return std::min(settings_.max_retry_after, free < never ? std::max(pause, free - now_) : pause);
+  Millis free_at = has_destination(id) ? next_call_at(destinations_[id]) : never,
+         pause = jittered(backoff_base);
+  return std::min(settings_.max_retry_after, free_at < never ? std::max(pause, free_at - now_) : pause);
 }
 
 // A rejection tells the client that trying again is harmless, so no transmission may have had an effect.
@@ -57,22 +61,24 @@
 // and 3).
 Priority Decider::priority_of(const Doc& doc) {
   // An ordered document blocks those of its key behind it, so it counts for all of them.
-  double held_up = doc.ordered ? static_cast<double>(key_queues_[doc.key].waiting.size()) : 1;
-  double value = -doc.type->value * held_up;
-  auto grade = [&](int stage, Millis by) { return Priority{stage, value, by, doc.sequence}; };
-  if (doc.over_tenant_share) return grade(3, doc.expiry);
-  double late = (now_ + doc.destination->expected_duration - doc.soft_deadline) / doc.type->target_latency;
-  if (late <= 0) return grade(0, doc.soft_deadline);
-  bool lost = settings_.exponential_value_decay && std::exp2(-late) <= doc.type->late_value;
-  return lost ? grade(2, doc.expiry) : grade(1, -doc.soft_deadline);
+  double blocked_documents = doc.ordered ? static_cast<double>(key_queues_[doc.key].waiting.size()) : 1;
+  double value = -doc.type->value * blocked_documents;
+  auto priority = [&](int stage, Millis order) { return Priority{stage, value, order, doc.sequence}; };
+  if (doc.over_tenant_share) return priority(3, doc.expiry);
+  double lateness =
+      (now_ + doc.destination->expected_duration - doc.soft_deadline) / doc.type->target_latency;
+  if (lateness <= 0) return priority(0, doc.soft_deadline);
+  bool value_lost = settings_.exponential_value_decay && std::exp2(-lateness) <= doc.type->late_value;
+  return value_lost ? priority(2, doc.expiry) : priority(1, -doc.soft_deadline);
 }
 
 bool Decider::is_exhausted(Doc& doc) {
   // A document whose destination must wait past its expiry can no longer be sent, whichever call was told to
   // wait.
-  bool late = doc.transmissions >= doc.max_transmissions ||
-              std::max(doc.not_before, doc.destination->retry_after_until) >= doc.expiry - expiry_margin();
-  return doc.in_flight == 0 && (late || !may_transmit_again(doc, std::max(now_, doc.not_before)));
+  bool cannot_be_sent =
+      doc.transmissions >= doc.max_transmissions ||
+      std::max(doc.not_before, doc.destination->retry_after_until) >= doc.expiry - expiry_margin();
+  return doc.in_flight == 0 && (cannot_be_sent || !may_transmit_again(doc, std::max(now_, doc.not_before)));
 }
 
 void Decider::end_document(Doc& doc) {
@@ -111,8 +117,8 @@
 // expiry first.
 bool Decider::must_make_room(Doc& doc) {
   // Documents recovered at a restart are not shed, even where they exceed the present capacity.
-  double most = std::max(0.9 * settings_.max_documents, static_cast<double>(documents_at_start_));
-  return settings_.max_documents > 0 && static_cast<double>(docs_.size()) > most && doc.in_flight == 0 &&
+  double max_held = std::max(0.9 * settings_.max_documents, static_cast<double>(documents_at_start_));
+  return settings_.max_documents > 0 && static_cast<double>(docs_.size()) > max_held && doc.in_flight == 0 &&
          may_reject(doc) && std::get<0>(priority_of(doc)) >= 2;
 }
 
--- a/src/decision/circuit_breaker.cpp
+++ b/src/decision/circuit_breaker.cpp
@@ -7,22 +7,23 @@
 
 namespace rockcrank::internal {
 
-void Decider::record_failure(Call& call, bool refused, bool waits) {
+void Decider::record_failure(Call& call, bool refused, bool has_retry_after) {
   Route& route = *call.route;
   if (!refused) {
     route.failures.add(now_, 1);
     if (++call.endpoint->consecutive_failures >= 2)
       call.endpoint->deprioritized_until = now_ + jittered(2 * trial_delay);
   }
-  bool first = route.failing_since >= never;
+  bool first_failure = route.failing_since >= never;
   record_rate_before_outage(route, 0, &call), route.failing_since = std::min(route.failing_since, now_);
   // The token bucket starts at a random level, so that relays that failed together do not retry together.
-  if (first && is_suspected(route)) route.tokens = uniform(0, 1), route.refilled_at = now_;
+  if (first_failure && is_suspected(route)) route.tokens = uniform(0, 1), route.refilled_at = now_;
   route.last_failure_at = now_, mark_for_persistence(route);
   // A refusal alone means that the rate limit is met; only a streak longer than a limit's window means an
   // outage.
-  bool shut = !waits && now_ - route.failing_since > max_limit_window;
-  if (call.sent_at < route.opened_at || (refused && route.breaker == BreakerState::closed && !shut)) return;
+  bool is_outage = !has_retry_after && now_ - route.failing_since > max_limit_window;
+  if (call.sent_at < route.opened_at || (refused && route.breaker == BreakerState::closed && !is_outage))
+    return;
   ++route.consecutive_failures;
   if (route.breaker == BreakerState::half_open || route.breaker == BreakerState::confirming)
     open_breaker(route);
@@ -42,26 +43,24 @@
 }
 
 void Decider::record_success(Route& route) {
-  double failing = route.failures.value(now_) /
-                   std::max(1e-3, route.failures.value(now_) + route.successes.value(now_) - 1);
+  double failure_share = route.failures.value(now_) /
+                         std::max(1e-3, route.failures.value(now_) + route.successes.value(now_) - 1);
   // Slow start also binds a relay that saw a single failure, unless that is one among many answers.
-  bool shut = refuses_persistently(route);
+  bool refusing = refuses_persistently(route);
   // A second outage during slow start: the time without calls must not count as warm-up time.
   bool silent_since_failure = (route.consecutive_failures > 0 || route.consecutive_refusals > 0) &&
                               now_ - route.failing_since > max_limit_window;
   // An outage seen in any of these ways counts even where, on a relay that calls often, answers from before
-  // it
-  // outweigh the failures.
-  bool outage = shut || route.breaker != BreakerState::closed || failing > 0.5 ||
+  // it outweigh the failures.
+  bool outage = refusing || route.breaker != BreakerState::closed || failure_share > 0.5 ||
                 (in_slow_start(route) && silent_since_failure);
   route.consecutive_refusals = route.consecutive_failures = 0;
   // Slow start counts from the answered trial call: the confirming calls must not restart it. Nor does an
-  // answer
-  // restart it where the recovery is already known since the last failure, as from another relay.
+  // answer restart it where the recovery is already known since the last failure, as from another relay.
   if (route.failing_since < never && outage && route.breaker != BreakerState::confirming &&
       !recovery_is_known(route)) {
     if (!in_slow_start(route))
-      log(route, "cold_return", {{"rate_before", route.rate_before_outage}, {"failing", failing}}),
+      log(route, "cold_return", {{"rate_before", route.rate_before_outage}, {"failing", failure_share}}),
           ++counters_.slow_starts;
     route.slow_start_since = now_, route.publish_pending = true;
   }
@@ -71,7 +70,7 @@
     route.breaker = BreakerState::confirming, route.confirmations_left = confirming_calls;
   else if (route.breaker == BreakerState::confirming && --route.confirmations_left <= 0) {
     route.breaker = BreakerState::closed, route.failing_since = never, route.publish_pending = true;
-    log(route, "breaker_closed", {{"open_ms", now_ - route.opened_at}, {"failing", failing}});
+    log(route, "breaker_closed", {{"open_ms", now_ - route.opened_at}, {"failing", failure_share}});
   }
 }
 
@@ -84,9 +83,11 @@
   route.breaker = BreakerState::open, route.opened_at = route.down_seen_at = now_,
   route.publish_pending = true;
   mark_for_persistence(route);
-  Millis own = 1000 / slow_start_rate(route, 0);
-  route.next_trial_at = now_ + std::max(jittered(trial_delay),
-                                        own > trial_delay ? std::min(draw_exponential(own), 2 * own) : 0);
+  Millis own_interval = 1000 / slow_start_rate(route, 0);
+  route.next_trial_at =
+      now_ + std::max(jittered(trial_delay), own_interval > trial_delay
+                                                 ? std::min(draw_exponential(own_interval), 2 * own_interval)
+                                                 : 0);
 }
 
 // Five consecutive failures over all relays: a relay that calls seldom would not see five before the outage
@@ -94,15 +95,16 @@
 // the threshold is five of its own.
 int Decider::failure_threshold(Route& route) {
   if (lone_failures_.value(now_) >= repeated_failures_.value(now_)) return failures_to_open;
-  double soon = 10 * std::max(route.rate_before_outage, route.calls.per_second(now_));
-  soon = std::clamp(std::max(soon, 1.0 * failures_to_open / settings_.relays), 1.0, 1.0 * failures_to_open);
-  return static_cast<int>(std::ceil(soon));
+  double threshold = 10 * std::max(route.rate_before_outage, route.calls.per_second(now_));
+  threshold =
+      std::clamp(std::max(threshold, 1.0 * failures_to_open / settings_.relays), 1.0, 1.0 * failures_to_open);
+  return static_cast<int>(std::ceil(threshold));
 }
 
 // Few routes have failed recently; the threshold is computed only for those, as it reads decaying sums.
-bool Decider::reached_failure_threshold(Route& r) {
-  return r.breaker == BreakerState::closed && r.consecutive_failures > 0 &&
-         r.consecutive_failures >= failure_threshold(r);
+bool Decider::reached_failure_threshold(Route& route) {
+  return route.breaker == BreakerState::closed && route.consecutive_failures > 0 &&
+         route.consecutive_failures >= failure_threshold(route);
 }
 
 }  // namespace rockcrank::internal
--- a/src/decision/concurrency_limit.cpp
+++ b/src/decision/concurrency_limit.cpp
@@ -6,31 +6,33 @@
 
 namespace rockcrank::internal {
 
-void Decider::set_stage(Call& call, CallStage to) {
-  calls_started_ += (to == CallStage::started) - (call.stage == CallStage::started);
-  calls_connecting_ += (to == CallStage::connecting) - (call.stage == CallStage::connecting);
-  call.stage = to;
+void Decider::set_stage(Call& call, CallStage stage) {
+  calls_started_ += (stage == CallStage::started) - (call.stage == CallStage::started);
+  calls_connecting_ += (stage == CallStage::connecting) - (call.stage == CallStage::connecting);
+  call.stage = stage;
 }
 
 bool Decider::is_degraded(Route& route) {
-  double slow = route.slow_calls.value(now_), bad = route.failures.value(now_);
-  return slow > std::max(0.05, slow_call_share * route.completed_calls.value(now_)) ||
-         bad > std::max(0.2, 0.25 * (route.successes.value(now_) + bad));
+  double slow_calls = route.slow_calls.value(now_), failures = route.failures.value(now_);
+  return slow_calls > std::max(0.05, slow_call_share * route.completed_calls.value(now_)) ||
+         failures > std::max(0.2, 0.25 * (route.successes.value(now_) + failures));
 }
 
 // Mean duration of a call: the route's own, with the mean over all routes as a prior of two calls.
 Millis Decider::usual_duration(Route& route) {
-  double n = timed_calls_.value(now_), lean = n > 0.01 ? total_duration_.value(now_) / n : 0;
-  return (route.total_duration.value(now_) + 2 * lean) / (route.timed_calls.value(now_) + 2);
+  double all_calls = timed_calls_.value(now_),
+         mean_of_all = all_calls > 0.01 ? total_duration_.value(now_) / all_calls : 0;
+  return (route.total_duration.value(now_) + 2 * mean_of_all) / (route.timed_calls.value(now_) + 2);
 }
 
 // When an endpoint whose connections or queue were full may take one more call: after full_endpoint_hold, or
 // one more per backoff step where it refuses calls when full.
 Millis Decider::capacity_free_at(const Endpoint& e) const {
-  int more = std::max(0, e.calls_in_flight + 1 - e.concurrency_limit);
-  Millis room =
-      more == 0 ? -never : e.limit_met_at + (e.refuses_when_full ? more * backoff_base : full_endpoint_hold);
-  return std::max(room, now_ < e.online_at + settings_.warm_up_time ? e.not_before : -never);
+  int excess_calls = std::max(0, e.calls_in_flight + 1 - e.concurrency_limit);
+  Millis free_at = excess_calls == 0 ? -never
+                                     : e.limit_met_at + (e.refuses_when_full ? excess_calls * backoff_base
+                                                                             : full_endpoint_hold);
+  return std::max(free_at, now_ < e.online_at + settings_.warm_up_time ? e.not_before : -never);
 }
 
 // Calls far overdue at hung destinations hold slots that healthy destinations need. While a document waits
@@ -45,11 +47,11 @@
 Call* Decider::find_most_overdue() {
   Call* worst = nullptr;
   if (!settings_.may_cancel) return worst;
-  double most =
+  double max_factor =
       hung_calls_.value(now_) > 6 && late_answers_.value(now_) < 0.08 * hung_calls_.value(now_) ? 0.6 : 2.5;
   for (auto& [number, call] : calls_) {
-    double by = (now_ - call.sent_at) / overdue_after(*call.route) * call.route->timeout_factor;
-    if (!call.canceled && by > most) worst = &call, most = by;
+    double factor = (now_ - call.sent_at) / overdue_after(*call.route) * call.route->timeout_factor;
+    if (!call.canceled && factor > max_factor) worst = &call, max_factor = factor;
   }
   return worst;
 }
--- a/src/decision/decider.h
+++ b/src/decision/decider.h
@@ -75,12 +75,12 @@
   void update_settings(const Settings& settings) override;
   void begin_turn(Millis now) override;
   void update_endpoints(const std::vector<EndpointEntry>& entries, bool whole) override;
-  void discovery_failed(bool turned_away, Millis took) override;
-  void accept(const Document& given) override;
-  void outcome(const Outcome& got) override;
+  void discovery_failed(bool refused, Millis duration) override;
+  void accept(const Document& document) override;
+  void outcome(const Outcome& outcome) override;
   void withdraw(DocId id) override;
-  void set_offline(EndpointId id, bool out) override;
-  void pause_sending(bool held) override { sending_paused_ = held; }
+  void set_offline(EndpointId id, bool offline) override;
+  void pause_sending(bool paused) override { sending_paused_ = paused; }
   void previous_process_ended() override { all_keys_settled_at_ = now_ + settings_.order_settle_time; }
   std::string export_state() override;
   void import_state(const std::string& state) override;
@@ -88,7 +88,7 @@
   bool has_capacity() const override {
     return settings_.max_documents == 0 || static_cast<int>(docs_.size()) < settings_.max_documents;
   }
-  bool has_destination(DestinationId at) const override;
+  bool has_destination(DestinationId id) const override;
   Millis retry_after(DestinationId id) override;
   void note_connecting(DocId doc, int transmission) override;
   SendPermission may_send(DocId doc, int transmission) override;
@@ -96,8 +96,8 @@
   Millis retry_backoff(int failures) override { return jittered(backoff(failures)); }
   std::vector<RouteStatus> route_statuses(bool all) override;
   std::vector<RouteStatus> route_statuses_to_persist() override;
-  void apply_route_status(const RouteStatus& k) override;
-  bool may_preconnect(EndpointId id, int up) override;
+  void apply_route_status(const RouteStatus& status) override;
+  bool may_preconnect(EndpointId id, int connections) override;
   Actions decide() override;
 
  private:
@@ -141,12 +141,12 @@
   void mark_for_persistence(Route& route) { route.persist_pending = persist_pending_ = true; }
 
   // Outcomes
-  void record_call_result(Call& call, const Outcome& got);
-  void log_failed_transmission(const Doc& doc, const Outcome& got, const Route& route);
-  void record_idle_connection_loss(const Route& route, Millis idle);
+  void record_call_result(Call& call, const Outcome& outcome);
+  void log_failed_transmission(const Doc& doc, const Outcome& outcome, const Route& route);
+  void record_idle_connection_loss(const Route& route, Millis idle_time);
 
   // Circuit breaker
-  void record_failure(Call& call, bool refused, bool waits);
+  void record_failure(Call& call, bool refused, bool has_retry_after);
   static bool limit_is_exhausted(const LoadHints& hints) {
     return hints.present && hints.rate_limit > 0 && hints.remaining_share < 0.1;
   }
@@ -158,7 +158,7 @@
     return route.breaker == BreakerState::open && now_ >= route.next_trial_at;
   }
   void half_open(Route& route) { route.breaker = BreakerState::half_open; }
-  bool reached_failure_threshold(Route& r);
+  bool reached_failure_threshold(Route& route);
 
   // Rate and slow start
   bool is_slow_start_limited(Route& route) { return in_slow_start(route) || is_suspected(route); }
@@ -166,7 +166,7 @@
     return now_ < route.slow_start_since + settings_.warm_up_time;
   }
   bool recovery_is_known(const Route& route) const;
-  void record_rate_before_outage(Route& route, double told = 0, const Call* failed = nullptr);
+  void record_rate_before_outage(Route& route, double reported_rate = 0, const Call* failed_call = nullptr);
   void begin_slow_start(Route& route, Millis since);
   double allowed_rate(Route& route);
   double slow_start_rate(const Route& route, Millis age) const;
@@ -175,10 +175,10 @@
   bool refuses_persistently(const Route& route) const;
   double available_tokens(Route& route);
   Millis next_call_at(Route& route);
-  Millis next_call_at(const Destination& to);
+  Millis next_call_at(const Destination& destination);
 
   // Concurrency limit
-  void set_stage(Call& call, CallStage to);
+  void set_stage(Call& call, CallStage stage);
   bool is_degraded(Route& route);
   int max_calls(Route& r) {
     return std::max(1, static_cast<int>(max_slot_share * settings_.slots) / (is_degraded(r) ? 2 : 1));
@@ -215,7 +215,7 @@
 
   // Order of keyed documents
   bool is_next_of_key(const Doc& doc);
-  Millis settled_at(const KeyQueue& lane) const { return std::max(lane.settled_at, all_keys_settled_at_); }
+  Millis settled_at(const KeyQueue& queue) const { return std::max(queue.settled_at, all_keys_settled_at_); }
 
   // Sending
   const char* reason_not_to_send(const Call& call, std::uint64_t number);
--- a/src/decision/decision.cpp
+++ b/src/decision/decision.cpp
@@ -33,8 +33,7 @@
 
 void Decider::begin_turn(Millis now) {
   // After a stall of the relay itself, retries that fell due meanwhile are spread again, so that they are not
-  // sent
-  // at once.
+  // sent at once.
   if (now > due_at_ + min_stall && due_at_ > 0)
     for (auto& [id, doc] : docs_)
       if (doc.transmissions > 0 && doc.not_before <= now) doc.not_before = now + uniform(0, backoff_base);
@@ -43,47 +42,48 @@
 
 void Decider::withdraw(DocId id) {
   if (docs_.count(id)) remove(docs_[id]);
-  for (auto& [key, lane] : key_queues_) lane.unacknowledged_ends.erase(id);
+  for (auto& [key, queue] : key_queues_) queue.unacknowledged_ends.erase(id);
 }
 
 // An endpoint that comes back online begins in slow start: its route where no other endpoint of it accepts
 // calls, else the endpoint alone.
-void Decider::set_offline(EndpointId id, bool out) {
-  if (!(out ? offline_endpoints_.insert(id).second : offline_endpoints_.erase(id) > 0) ||
+void Decider::set_offline(EndpointId id, bool offline) {
+  if (!(offline ? offline_endpoints_.insert(id).second : offline_endpoints_.erase(id) > 0) ||
       !endpoints_.count(id))
     return;
   Endpoint& e = endpoints_[id];
   Route& route = *e.route;
-  endpoints_to_check_.insert(id), e.offline = out;
-  if (out) return record_rate_before_outage(route);
+  endpoints_to_check_.insert(id), e.offline = offline;
+  if (offline) return record_rate_before_outage(route);
   e.online_at = now_;
-  bool alone = std::ranges::none_of(endpoints_, [&](const auto& other) {
+  bool is_only_endpoint = std::ranges::none_of(endpoints_, [&](const auto& other) {
     return other.second.route == &route && other.first != id && other.second.accepts_calls();
   });
-  if (alone) begin_slow_start(route, now_);
+  if (is_only_endpoint) begin_slow_start(route, now_);
 }
 
 std::string Decider::export_state() {
-  StateArchive all;
-  all.put_fields(exported_fields());
-  for (auto& [id, e] : endpoints_) all.append("endpoints", id, e);
-  for (auto& [number, call] : calls_) all.append("calls", std::pair(number, call.endpoint->id), call);
-  for (auto& [id, doc] : docs_) all.append("docs", *doc.type, doc);
-  return all.text();
+  StateArchive archive;
+  archive.put_fields(exported_fields());
+  for (auto& [id, e] : endpoints_) archive.append("endpoints", id, e);
+  for (auto& [number, call] : calls_) archive.append("calls", std::pair(number, call.endpoint->id), call);
+  for (auto& [id, doc] : docs_) archive.append("docs", *doc.type, doc);
+  return archive.text();
 }
 
 void Decider::import_state(const std::string& state) {
-  StateArchive all(state);
-  all.get_fields(exported_fields());
-  all.for_each<EndpointId, Endpoint>("endpoints", [&](EndpointId id, const Endpoint& e) {
+  StateArchive archive(state);
+  archive.get_fields(exported_fields());
+  archive.for_each<EndpointId, Endpoint>("endpoints", [&](EndpointId id, const Endpoint& e) {
     (endpoints_[id] = e).route = &routes_.at(e.route_key());
     destinations_[e.destination].add_endpoint(&endpoints_[id]);
   });
-  all.for_each<std::pair<std::uint64_t, EndpointId>, Call>("calls", [&](const auto& where, const Call& call) {
-    (calls_[where.first] = call).endpoint = &endpoints_.at(where.second);
-    calls_[where.first].route = endpoints_.at(where.second).route;
-  });
-  all.for_each<DocType, Doc>("docs", [&](const DocType& type, const Doc& doc) {
+  archive.for_each<std::pair<std::uint64_t, EndpointId>, Call>(
+      "calls", [&](const auto& where, const Call& call) {
+        (calls_[where.first] = call).endpoint = &endpoints_.at(where.second);
+        calls_[where.first].route = endpoints_.at(where.second).route;
+      });
+  archive.for_each<DocType, Doc>("docs", [&](const DocType& type, const Doc& doc) {
     (docs_[doc.id] = doc).type = &doc_types_[static_cast<std::size_t>(type_id(type))];
     docs_[doc.id].destination = &destinations_[doc.destination_id],
     ++docs_[doc.id].destination->document_count;
@@ -94,16 +94,17 @@
 Actions Decider::decide() {
   if (documents_at_start_ < 0) documents_at_start_ = static_cast<int>(docs_.size());
   actions_.max_idle_time = idle_connection_losses_.value(now_) > 1.2 ? max_idle_time_ : never;
-  for (auto& [id, to] : destinations_) {
-    if (to.document_count == 0) continue;
-    to.ready_retry_safe = 0, to.retry_after_until = never;
-    to.expected_duration =
-        to.ranked_endpoints.empty() ? 0 : usual_duration(*to.ranked_endpoints.front()->route);
-    for (Endpoint* e : to.ranked_endpoints)
+  for (auto& [id, destination] : destinations_) {
+    if (destination.document_count == 0) continue;
+    destination.ready_retry_safe = 0, destination.retry_after_until = never;
+    destination.expected_duration = destination.ranked_endpoints.empty()
+                                        ? 0
+                                        : usual_duration(*destination.ranked_endpoints.front()->route);
+    for (Endpoint* e : destination.ranked_endpoints)
       if (e->accepts_calls())
-        to.retry_after_until = std::min(to.retry_after_until, e->route->retry_after_until);
-    if (to.retry_after_until >= never)
-      to.retry_after_until = -never;  // no endpoint accepts calls: the list may be late
+        destination.retry_after_until = std::min(destination.retry_after_until, e->route->retry_after_until);
+    if (destination.retry_after_until >= never)
+      destination.retry_after_until = -never;  // no endpoint accepts calls: the list may be late
   }
   by_priority_.clear();
   for (auto& [id, doc] : docs_) {
@@ -121,10 +122,10 @@
     for (const Rule<Decider, Route>& rule : route_rules)
       for (auto& [key, route] : routes_)
         if ((this->*rule.condition)(route)) (this->*rule.action)(route), fired = true;
-    for (auto& [id, to] : destinations_) to.blocked[0] = to.blocked[1] = false;
+    for (auto& [id, destination] : destinations_) destination.blocked[0] = destination.blocked[1] = false;
     most_overdue_ = find_most_overdue();
     for (const Rule<Decider, Doc>& rule : doc_rules)
-      for (auto& [grade, doc] : by_priority_)
+      for (auto& [priority, doc] : by_priority_)
         if (doc && (this->*rule.condition)(*doc)) {
           DocId id = doc->id;
           current_rule_ = rule.name;
@@ -133,8 +134,7 @@
         }
   }
   // Endpoints cap their connections, idle ones included, and a relay that holds an idle one never notices the
-  // cap.
-  // So the fleet keeps no more idle connections than any endpoint accepts, and none to an endpoint that
+  // cap. So the fleet keeps no more idle connections than any endpoint accepts, and none to an endpoint that
   // accepts no calls; at an endpoint that met its cap, unused connections are closed.
   for (EndpointId id : std::exchange(endpoints_to_check_, {})) {
     Endpoint& e = endpoints_[id];
@@ -143,10 +143,10 @@
       actions_.closed_connections.push_back({id, trial_delay});
   }
   if (now_ >= forgot_unused_at_ + trial_delay) forget_unused();
-  Millis asked = settings_.local_discovery_agent
-                     ? backoff_base
-                     : trial_delay;  // a short wait, so that a lost long poll is noticed soon
-  if (now_ >= discovery_at_) actions_.long_poll_wait = asked, discovery_at_ = never;
+  Millis poll_wait = settings_.local_discovery_agent
+                         ? backoff_base
+                         : trial_delay;  // a short wait, so that a lost long poll is noticed soon
+  if (now_ >= discovery_at_) actions_.long_poll_wait = poll_wait, discovery_at_ = never;
   actions_.discovery_timeout = settings_.local_discovery_agent ? backoff_base : 2.5 * trial_delay;
   due_at_ = next_due(), actions_.wake_in = due_at_ >= never ? -1 : std::max(0.0, due_at_ - now_);
   return std::move(actions_);
@@ -171,11 +171,12 @@
     --e.route->endpoint_count, actions_.forgotten_endpoints.push_back(id);
   }
   for (EndpointId id : actions_.forgotten_endpoints) endpoints_.erase(id), endpoints_to_check_.erase(id);
-  std::erase_if(destinations_,
-                [](auto& at) { return at.second.ranked_endpoints.empty() && !at.second.document_count; });
-  std::erase_if(routes_, [&](auto& at) {
-    return at.second.endpoint_count == 0 &&
-           now_ >= at.second.relevant_until(settings_.warm_up_time, max_lifetime_);
+  std::erase_if(destinations_, [](auto& entry) {
+    return entry.second.ranked_endpoints.empty() && !entry.second.document_count;
+  });
+  std::erase_if(routes_, [&](auto& entry) {
+    return entry.second.endpoint_count == 0 &&
+           now_ >= entry.second.relevant_until(settings_.warm_up_time, max_lifetime_);
   });
   std::erase_if(key_queues_, [&](auto& entry) { return entry.second.is_unused(now_); });
 }
@@ -193,9 +194,9 @@
     if (doc.ordered) wake_at(settled_at(key_queues_[doc.key]));
     doc.destination->has_ready_document = true;
   }
-  for (auto& [id, to] : destinations_) {
-    if (!std::exchange(to.has_ready_document, false)) continue;
-    for (Endpoint* e : to.ranked_endpoints)
+  for (auto& [id, destination] : destinations_) {
+    if (!std::exchange(destination.has_ready_document, false)) continue;
+    for (Endpoint* e : destination.ranked_endpoints)
       if (e->accepts_calls())
         wake_at(batch_of_turn(*e) ? now_ + settings_.tick : next_call_at(*e->route)),
             wake_at(capacity_free_at(*e));
--- a/src/decision/decision.h
+++ b/src/decision/decision.h
@@ -247,8 +247,8 @@
   virtual void pause_sending(bool paused) = 0;
   // The previous process has ended and its last transmissions are not all known: they may still be running.
   virtual void previous_process_ended() = 0;
-  // The whole state, for the process that replaces this one on the same clock. Where import_state()
-  // cannot read it, it throws std::exception and has changed nothing that matters.
+  // The whole state, for the process that replaces this one on the same clock. Where import_state() cannot
+  // read it, it throws std::exception and has changed nothing that matters.
   virtual std::string export_state() = 0;
   virtual void import_state(const std::string& state) = 0;
   // The relay ends within this time; documents still held then wait for its restart.
--- a/src/decision/endpoint_list.cpp
+++ b/src/decision/endpoint_list.cpp
@@ -41,12 +41,13 @@
 
 // Prevents a thundering herd: with early retries discovery works on answers that come too late. The backoff
 // covers the time that all relays need one by one, but leaves discovery its 2 s of the protocol's 6 s.
-void Decider::discovery_failed(bool turned_away, Millis took) {
-  if (settings_.local_discovery_agent && !turned_away)
+void Decider::discovery_failed(bool refused, Millis duration) {
+  if (settings_.local_discovery_agent && !refused)
     return void(discovery_at_ = now_ + uniform(0, backoff_base));
-  Millis first = std::max(backoff_base, turned_away ? discovery_spread() : 0);
-  Millis pause = 2 * first / backoff_base * backoff(std::min(++discovery_failures_, 3));
-  discovery_at_ = now_ + uniform(0, std::min(pause, std::max(backoff_base / 2, max_discovery_delay - took)));
+  Millis first_pause = std::max(backoff_base, refused ? discovery_spread() : 0);
+  Millis pause = 2 * first_pause / backoff_base * backoff(std::min(++discovery_failures_, 3));
+  discovery_at_ =
+      now_ + uniform(0, std::min(pause, std::max(backoff_base / 2, max_discovery_delay - duration)));
 }
 
 }  // namespace rockcrank::internal
--- a/src/decision/key_order.cpp
+++ b/src/decision/key_order.cpp
@@ -7,11 +7,11 @@
 // documents that ended before it are forgotten, together with the settle time they left.
 bool Decider::is_next_of_key(const Doc& doc) {
   if (!doc.ordered) return true;
-  const KeyQueue& lane = key_queues_[doc.key];
+  const KeyQueue& queue = key_queues_[doc.key];
   // An end counts once the platform has acknowledged its report, or the report could cross the next
   // document's call.
-  bool first = *lane.waiting.begin() == doc.sequence && lane.unacknowledged_ends.empty();
-  return first && (doc.transmissions > 0 || (lane.in_flight == 0 && now_ >= settled_at(lane)));
+  bool is_first = *queue.waiting.begin() == doc.sequence && queue.unacknowledged_ends.empty();
+  return is_first && (doc.transmissions > 0 || (queue.in_flight == 0 && now_ >= settled_at(queue)));
 }
 
 }  // namespace rockcrank::internal
--- a/src/decision/outcomes.cpp
+++ b/src/decision/outcomes.cpp
@@ -7,30 +7,32 @@
 
 namespace rockcrank::internal {
 
-void Decider::outcome(const Outcome& got) {
-  auto found = in_flight_.find({got.doc, got.transmission});
+void Decider::outcome(const Outcome& outcome) {
+  auto found = in_flight_.find({outcome.doc, outcome.transmission});
   if (found == in_flight_.end()) return;
-  auto [call_number, lane_key, ordered] = found->second;
+  auto [call_number, key, ordered] = found->second;
   in_flight_.erase(found);
   Call& call = calls_[call_number];
-  bool ran_out = got.result == TransmissionResult::timed_out,
-       off = got.result == TransmissionResult::canceled;
-  bool unknown = ran_out || off || got.result == TransmissionResult::connection_lost;
+  bool timed_out = outcome.result == TransmissionResult::timed_out,
+       canceled = outcome.result == TransmissionResult::canceled;
+  bool outcome_unknown = timed_out || canceled || outcome.result == TransmissionResult::connection_lost;
   if (ordered) {
-    KeyQueue& lane = key_queues_[lane_key];
-    --lane.in_flight;
-    if (unknown) lane.settled_at = std::max(lane.settled_at, now_ + settings_.order_settle_time);
+    KeyQueue& queue = key_queues_[key];
+    --queue.in_flight;
+    if (outcome_unknown) queue.settled_at = std::max(queue.settled_at, now_ + settings_.order_settle_time);
   }
   // A Retry-After binds every call of the route; each document of a batch may carry its own.
-  if (got.retry_after > 0)
+  if (outcome.retry_after > 0)
     call.route->publish_pending =
-        apply_retry_after(*call.route, now_ + got.retry_after, limit_is_exhausted(got.hints));
-  Millis overdue = overdue_after(*call.route);
-  if ((ran_out || off) && got.duration > 1.1 * overdue / call.route->timeout_factor) hung_calls_.add(now_, 1);
-  if (got.result == TransmissionResult::answered) call.route->answered_documents.add(now_, 1);
+        apply_retry_after(*call.route, now_ + outcome.retry_after, limit_is_exhausted(outcome.hints));
+  Millis overdue_duration = overdue_after(*call.route);
+  if ((timed_out || canceled) && outcome.duration > 1.1 * overdue_duration / call.route->timeout_factor)
+    hung_calls_.add(now_, 1);
+  if (outcome.result == TransmissionResult::answered) call.route->answered_documents.add(now_, 1);
   // A call cut short by its document's expiry says nothing about the destination.
-  bool tells = got.result != TransmissionResult::not_sent && !off && !(ran_out && got.duration < overdue);
-  if (!call.counted && tells) record_call_result(call, got);
+  bool is_evidence = outcome.result != TransmissionResult::not_sent && !canceled &&
+                     !(timed_out && outcome.duration < overdue_duration);
+  if (!call.counted && is_evidence) record_call_result(call, outcome);
   call.counted = true;
   if (--call.document_count == 0) {
     --call.route->calls_in_flight;
@@ -38,53 +40,54 @@
     endpoints_to_check_.insert(call.endpoint->id);
     set_stage(call, CallStage::connected), --calls_in_flight_, calls_canceled_ -= call.canceled;
   }
-  if (auto holder = docs_.find(got.doc); holder != docs_.end()) {
-    Doc& doc = holder->second;
+  if (auto held = docs_.find(outcome.doc); held != docs_.end()) {
+    Doc& doc = held->second;
     --doc.in_flight;
-    if (got.exhausted) doc.max_transmissions = std::min(doc.max_transmissions, doc.transmissions);
-    if ((unknown || got.result == TransmissionResult::error) && !doc.may_have_run())
+    if (outcome.exhausted) doc.max_transmissions = std::min(doc.max_transmissions, doc.transmissions);
+    if ((outcome_unknown || outcome.result == TransmissionResult::error) && !doc.may_have_run())
       doc.may_have_run_at = call.sent_at, doc.may_have_run_zone = call.endpoint->zone;
-    if (got.completed) remove(doc);
+    if (outcome.completed) remove(doc);
     else {
       // Exponential backoff with jitter: base x 2^(failures-1), also where no slot or socket was free. After
-      // a
-      // refusal the jitter is 100%, counted from the end of a Retry-After, so that what was refused together
-      // is not retried together.
+      // a refusal the jitter is 100%, counted from the end of a Retry-After, so that what was refused
+      // together is not retried together.
       Millis pause = backoff(++doc.failures);
       doc.not_before =
-          now_ + (got.result == TransmissionResult::refused ? uniform(0, 2) * pause : jittered(pause));
-      if (got.retry_after > 0 && !choose_endpoint(doc, settings_.slots + 1))
-        doc.not_before += got.retry_after;
-      log_failed_transmission(doc, got, *call.route);
+          now_ + (outcome.result == TransmissionResult::refused ? uniform(0, 2) * pause : jittered(pause));
+      if (outcome.retry_after > 0 && !choose_endpoint(doc, settings_.slots + 1))
+        doc.not_before += outcome.retry_after;
+      log_failed_transmission(doc, outcome, *call.route);
     }
   }
   if (call.document_count == 0) calls_.erase(call_number);
 }
 
 // Updates the health, latency and rate of a route from the first outcome of a call.
-void Decider::record_call_result(Call& call, const Outcome& got) {
+void Decider::record_call_result(Call& call, const Outcome& outcome) {
   Route& route = *call.route;
   Endpoint& endpoint = *call.endpoint;
-  if (got.hints.present) {
-    auto met = std::pair(route.rate_limit, route.remaining_share < spare_limit_share);
-    route.rate_limit = got.hints.rate_limit > 0 ? got.hints.rate_limit
-                                                : (settings_.limits_from_discovery ? route.rate_limit : 0);
-    route.remaining_share = got.hints.rate_limit > 0 ? got.hints.remaining_share : 1,
+  if (outcome.hints.present) {
+    auto previous = std::pair(route.rate_limit, route.remaining_share < spare_limit_share);
+    route.rate_limit = outcome.hints.rate_limit > 0
+                           ? outcome.hints.rate_limit
+                           : (settings_.limits_from_discovery ? route.rate_limit : 0);
+    route.remaining_share = outcome.hints.rate_limit > 0 ? outcome.hints.remaining_share : 1,
     route.load_hints_at = now_;
-    route.publish_pending |= met != std::pair(route.rate_limit, route.remaining_share < spare_limit_share);
+    route.publish_pending |=
+        previous != std::pair(route.rate_limit, route.remaining_share < spare_limit_share);
   }
   route.completed_calls.add(now_, 1);
-  if (got.result == TransmissionResult::not_connected) connect_failures_.add(now_, 1);
-  if (got.result == TransmissionResult::connection_lost) route.lost_connections.add(now_, 1);
-  if (got.duration > slow_call_duration) route.slow_calls.add(now_, 1);
-  bool at_cap =
-      got.result == TransmissionResult::refused && got.connection_closed && got.connection_idle_time == 0;
+  if (outcome.result == TransmissionResult::not_connected) connect_failures_.add(now_, 1);
+  if (outcome.result == TransmissionResult::connection_lost) route.lost_connections.add(now_, 1);
+  if (outcome.duration > slow_call_duration) route.slow_calls.add(now_, 1);
+  bool at_cap = outcome.result == TransmissionResult::refused && outcome.connection_closed &&
+                outcome.connection_idle_time == 0;
   if (!at_cap && route.consecutive_failures == 1 && call.sent_at > route.failing_since)
-    (got.result == TransmissionResult::answered ? lone_failures_ : repeated_failures_).add(now_, 1);
-  if (got.result == TransmissionResult::answered) {
-    route.total_duration.add(now_, got.duration), route.timed_calls.add(now_, 1),
+    (outcome.result == TransmissionResult::answered ? lone_failures_ : repeated_failures_).add(now_, 1);
+  if (outcome.result == TransmissionResult::answered) {
+    route.total_duration.add(now_, outcome.duration), route.timed_calls.add(now_, 1),
         route.successes.add(now_, 1);
-    total_duration_.add(now_, got.duration), timed_calls_.add(now_, 1);
+    total_duration_.add(now_, outcome.duration), timed_calls_.add(now_, 1);
     if (call.overdue) late_answers_.add(now_, 1);
     route.timeout_factor = std::max(1.0, route.timeout_factor * 0.9);
     endpoint.consecutive_failures = 0, endpoint.answered_at = route.answered_at = now_;
@@ -92,84 +95,88 @@
     return;
   }
   // At a connection cap some calls succeed; a dead endpoint answers none. An endpoint that refuses the first
-  // call
-  // of a new connection and closes it has met its cap too, perhaps by connections of other relays. One that
-  // refuses a call beside others, and reports no rate limit or a share of it left, has its queue full: a
+  // call of a new connection and closes it has met its cap too, perhaps by connections of other relays. One
+  // that refuses a call beside others, and reports no rate limit or a share of it left, has its queue full: a
   // lower rate would leave it idle.
-  bool full = got.result == TransmissionResult::refused && got.retry_after <= 0 && got.hints.present &&
-              (got.hints.rate_limit <= 0 || got.hints.remaining_share > spare_limit_share);
+  bool full = outcome.result == TransmissionResult::refused && outcome.retry_after <= 0 &&
+              outcome.hints.present &&
+              (outcome.hints.rate_limit <= 0 || outcome.hints.remaining_share > spare_limit_share);
   // In a large fleet the first connection refused at once may be due to connections that other relays hold.
-  // One
-  // that never comes up means an outage, as does a second refused one, or one after any failure; then the
+  // One that never comes up means an outage, as does a second refused one, or one after any failure; then the
   // first, excused one counts too.
-  bool missed = got.result == TransmissionResult::not_connected;
-  bool beside = endpoint.calls_in_flight > 1 && call.sent_at - endpoint.answered_at < 2000;
-  bool passed = settings_.relays > min_connection_cap && route.connection_cap_met_at > route.answered_at;
+  bool connect_failed = outcome.result == TransmissionResult::not_connected;
+  bool others_in_flight = endpoint.calls_in_flight > 1 && call.sent_at - endpoint.answered_at < 2000;
+  bool excused_before =
+      settings_.relays > min_connection_cap && route.connection_cap_met_at > route.answered_at;
   // Where the host reports connection idle times, an endpoint at its cap says so in an answer, and one that
-  // refuses
-  // a connection or stays silent is down. So is one in slow start.
-  bool maybe_cap = missed && got.connection_idle_time < 0 && got.duration < 0.5 * settings_.connect_timeout &&
-                   !in_slow_start(route);
-  bool once = maybe_cap && settings_.relays > min_connection_cap &&
-              endpoint.connection_cap_met_at <= endpoint.answered_at && !passed &&
-              route.consecutive_failures == 0;
-  if (at_cap || once || ((full || maybe_cap) && beside)) {
+  // refuses a connection or stays silent is down. So is one in slow start.
+  bool maybe_cap = connect_failed && outcome.connection_idle_time < 0 &&
+                   outcome.duration < 0.5 * settings_.connect_timeout && !in_slow_start(route);
+  bool excused = maybe_cap && settings_.relays > min_connection_cap &&
+                 endpoint.connection_cap_met_at <= endpoint.answered_at && !excused_before &&
+                 route.consecutive_failures == 0;
+  if (at_cap || excused || ((full || maybe_cap) && others_in_flight)) {
     endpoint.concurrency_limit = endpoint.calls_in_flight - 1, endpoint.refuses_when_full = at_cap || full;
     if (!full) endpoint.connection_cap_met_at = route.connection_cap_met_at = now_;
     if (now_ > endpoint.limit_met_at + max_limit_window)
       log(route, full ? "queue_full" : "connections_full",
           {{"held_to", endpoint.concurrency_limit}, {"calls_out", endpoint.calls_in_flight}});
     // What was refused together must not be retried together, so the hold is jittered over its whole length.
-    endpoint.limit_met_at = now_ + (once ? uniform(-1, 1) * full_endpoint_hold : 0);
+    endpoint.limit_met_at = now_ + (excused ? uniform(-1, 1) * full_endpoint_hold : 0);
     return;
   }
-  if (missed && passed && route.consecutive_failures == 0)
+  if (connect_failed && excused_before && route.consecutive_failures == 0)
     ++route.consecutive_failures, repeated_failures_.add(now_, 1);
-  if (got.result == TransmissionResult::refused) {
-    route.consecutive_refusals += !limit_is_exhausted(got.hints) && got.retry_after <= 0;
+  if (outcome.result == TransmissionResult::refused) {
+    route.consecutive_refusals += !limit_is_exhausted(outcome.hints) && outcome.retry_after <= 0;
     if (now_ > route.rate_reduced_at + 300) {
-      double least = std::max(0.3, 0.3 * route.rate_limit / settings_.relays);
+      double min_rate = std::max(0.3, 0.3 * route.rate_limit / settings_.relays);
       route.reduced_rate =
-          std::max(least, 0.7 * std::min(allowed_rate(route), route.recent_calls.per_second(now_)));
+          std::max(min_rate, 0.7 * std::min(allowed_rate(route), route.recent_calls.per_second(now_)));
       route.rate_reduced_at = now_, route.publish_pending |= route.rate_limit > 0;
     }
-  } else if (got.result == TransmissionResult::timed_out)
+  } else if (outcome.result == TransmissionResult::timed_out)
     route.timeout_factor = std::min(6.0, route.timeout_factor * 1.5);
-  Millis idle = got.connection_idle_time < 0 ? call.endpoint_idle_time : got.connection_idle_time;
-  bool on_kept =
-      got.result == TransmissionResult::connection_lost && idle > (got.connection_idle_time < 0 ? 500 : 0);
-  if (on_kept && route.id != last_idle_loss_route_) record_idle_connection_loss(route, idle);
-  if (got.result == TransmissionResult::connection_lost && got.connection_idle_time >= 0 &&
+  Millis idle_time =
+      outcome.connection_idle_time < 0 ? call.endpoint_idle_time : outcome.connection_idle_time;
+  bool on_reused_connection = outcome.result == TransmissionResult::connection_lost &&
+                              idle_time > (outcome.connection_idle_time < 0 ? 500 : 0);
+  if (on_reused_connection && route.id != last_idle_loss_route_)
+    record_idle_connection_loss(route, idle_time);
+  if (outcome.result == TransmissionResult::connection_lost && outcome.connection_idle_time >= 0 &&
       idle_connection_losses_.value(now_) > 1.2)
     return;
   // A lowered rate limit refuses for seconds on end too, but then the hints say that nothing is left: no
   // outage.
-  if (got.result == TransmissionResult::refused && limit_is_exhausted(got.hints)) return;
-  if (!call.overdue) record_failure(call, got.result == TransmissionResult::refused, got.retry_after > 0);
+  if (outcome.result == TransmissionResult::refused && limit_is_exhausted(outcome.hints)) return;
+  if (!call.overdue)
+    record_failure(call, outcome.result == TransmissionResult::refused, outcome.retry_after > 0);
 }
 
-void Decider::log_failed_transmission(const Doc& doc, const Outcome& got, const Route& route) {
-  static const char* const endings[] = {"answered",      "error",  "refused",    "timed_out",
-                                        "not_connected", "broken", "called_off", "not_sent"};
+void Decider::log_failed_transmission(const Doc& doc, const Outcome& outcome, const Route& route) {
+  static const char* const result_names[] = {"answered",      "error",  "refused",    "timed_out",
+                                             "not_connected", "broken", "called_off", "not_sent"};
   char text[200];
   std::snprintf(text, sizeof text,
                 "event=attempt_failed message=%llu attempt=%d route=%llx breaker=%s ending=%s took_ms=%.0f "
                 "wait_ms=%.0f next_try_ms=%.0f",
-                0ULL + static_cast<std::uint64_t>(doc.id), got.transmission, 0ULL + route.id,
-                route.breaker_name(), endings[static_cast<int>(got.result)], got.duration, got.retry_after,
-                doc.not_before - now_);
+                0ULL + static_cast<std::uint64_t>(doc.id), outcome.transmission, 0ULL + route.id,
+                route.breaker_name(), result_names[static_cast<int>(outcome.result)], outcome.duration,
+                outcome.retry_after, doc.not_before - now_);
   actions_.log.push_back(text);
 }
 
 // Connections lost at one destination after another, each on a reused connection, mean that something on the
-// path drops idle connections. For a while connections idle for as long are closed before use; only then, as
-// a new connection costs.
-void Decider::record_idle_connection_loss(const Route& route, Millis idle) {
-  if (idle > 500)
-    max_idle_time_ = std::min(idle_connection_losses_.value(now_) < 0.2 ? never : max_idle_time_, 0.9 * idle);
+// path drops idle connections. For a while connections idle for as long are closed before use; others are
+// reused, as a new connection is costly.
+void Decider::record_idle_connection_loss(const Route& route, Millis idle_time) {
+  if (idle_time > 500)
+    max_idle_time_ =
+        std::min(idle_connection_losses_.value(now_) < 0.2 ? never : max_idle_time_, 0.9 * idle_time);
   idle_connection_losses_.add(now_, 1), last_idle_loss_route_ = route.id;
   if (idle_connection_losses_.value(now_) < 3)
-    log(route, "idle_connection_broke", {{"idle_ms", idle}, {"lately", idle_connection_losses_.value(now_)}});
+    log(route, "idle_connection_broke",
+        {{"idle_ms", idle_time}, {"lately", idle_connection_losses_.value(now_)}});
 }
 
 }  // namespace rockcrank::internal
--- a/src/decision/pacing.cpp
+++ b/src/decision/pacing.cpp
@@ -15,11 +15,11 @@
 // The relay's own rate before an outage, on which its slow start is based. The failed call itself is left
 // out: a relay that has just called would otherwise seem to call more often than it does, the more so the
 // less it calls.
-void Decider::record_rate_before_outage(Route& route, double told, const Call* failed) {
+void Decider::record_rate_before_outage(Route& route, double reported_rate, const Call* failed_call) {
   if (in_slow_start(route) || route.failing_since < never) return;
-  double own = route.calls.per_second(now_);
-  if (failed) own -= route.calls.weight_per_second(now_ - failed->sent_at);
-  route.rate_before_outage = std::max({0.0, told, own});
+  double own_rate = route.calls.per_second(now_);
+  if (failed_call) own_rate -= route.calls.weight_per_second(now_ - failed_call->sent_at);
+  route.rate_before_outage = std::max({0.0, reported_rate, own_rate});
 }
 
 // Starts with a random token level: where all relays were told the same moment, they must not call at the
@@ -31,17 +31,17 @@
 
 // Calls per second that this relay allows itself on a route. Rate limits are shared with all other relays.
 double Decider::allowed_rate(Route& route) {
-  double rate = never, part = 1.0 / settings_.relays;
+  double rate = never, own_part = 1.0 / settings_.relays;
   if (route.rate_limit > 0) {
     // The relay's own part of the limit, and more only while fresh hints say that the others leave some of
-    // it. With
-    // no fresh hints half of the whole limit: a burst is mostly one relay's, and refusals cut the rate where
-    // others burst too.
-    bool fresh = now_ < route.load_hints_at + 1500;
-    double spare = fresh ? std::clamp((route.remaining_share - spare_limit_share) / 0.4, 0.0, 1.0) : 0;
-    double held = fresh ? std::clamp(0.5 + route.remaining_share / 0.4, 0.5, 1.0) : 1;
-    rate = route.rate_limit * (part * held + (1 - part) * spare);
-    if (held >= 1) rate = std::max(rate, 0.5 * route.rate_limit);
+    // it. With no fresh hints half of the whole limit: a burst is mostly one relay's, and refusals cut the
+    // rate where others burst too.
+    bool hints_are_fresh = now_ < route.load_hints_at + 1500;
+    double spare_share =
+        hints_are_fresh ? std::clamp((route.remaining_share - spare_limit_share) / 0.4, 0.0, 1.0) : 0;
+    double own_part_used = hints_are_fresh ? std::clamp(0.5 + route.remaining_share / 0.4, 0.5, 1.0) : 1;
+    rate = route.rate_limit * (own_part * own_part_used + (1 - own_part) * spare_share);
+    if (own_part_used >= 1) rate = std::max(rate, 0.5 * route.rate_limit);
   }
   if (route.reduced_rate > 0)
     rate = std::min(rate, route.reduced_rate * std::exp((now_ - route.rate_reduced_at) / 4000));
@@ -97,21 +97,21 @@
 Millis Decider::next_call_at(Route& route) {
   if (now_ < route.retry_after_until) return route.retry_after_until;
   if (route.breaker == BreakerState::open) return route.next_trial_at;
-  int most = route.breaker == BreakerState::half_open    ? 1
-             : route.breaker == BreakerState::confirming ? 2
-                                                         : settings_.slots;
-  if (route.calls_in_flight >= std::min(most, max_calls(route)) ||
+  int max_in_flight = route.breaker == BreakerState::half_open    ? 1
+                      : route.breaker == BreakerState::confirming ? 2
+                                                                  : settings_.slots;
+  if (route.calls_in_flight >= std::min(max_in_flight, max_calls(route)) ||
       now_ + 2 * usual_duration(route) > shutdown_at_)
     return never;
   double rate = allowed_rate(route),
-         lacks = 1 - (is_slow_start_limited(route) ? 0 : 0.3 * rate) - available_tokens(route);
-  return lacks <= 1e-9 ? now_ : now_ + std::min(500.0, 1000 * lacks / rate);
+         missing_tokens = 1 - (is_slow_start_limited(route) ? 0 : 0.3 * rate) - available_tokens(route);
+  return missing_tokens <= 1e-9 ? now_ : now_ + std::min(500.0, 1000 * missing_tokens / rate);
 }
 
-Millis Decider::next_call_at(const Destination& to) {
-  Millis free = never;
-  for (Endpoint* e : to.ranked_endpoints) free = std::min(free, next_call_at(*e->route));
-  return free;
+Millis Decider::next_call_at(const Destination& destination) {
+  Millis earliest = never;
+  for (Endpoint* e : destination.ranked_endpoints) earliest = std::min(earliest, next_call_at(*e->route));
+  return earliest;
 }
 
 }  // namespace rockcrank::internal
--- a/src/decision/sending.cpp
+++ b/src/decision/sending.cpp
@@ -53,15 +53,15 @@
 // Limits batches where calls lose their connection more often the more documents they carry: a call carries
 // no more documents than were recently answered per lost call, so that about half of such calls get through.
 int Decider::current_batch_limit(Route& route) {
-  double broke = route.lost_connections.value(now_),
-         most = broke > 0.1 ? route.answered_documents.value(now_) / broke : never;
-  return static_cast<int>(std::clamp(most, 1.0, 1.0 * route.max_batch_size));
+  double lost_calls = route.lost_connections.value(now_),
+         max_documents = lost_calls > 0.1 ? route.answered_documents.value(now_) / lost_calls : never;
+  return static_cast<int>(std::clamp(max_documents, 1.0, 1.0 * route.max_batch_size));
 }
 
 // The call opened to this endpoint in the present turn, a trial call too, or null where its batch is full.
 Call* Decider::batch_of_turn(const Endpoint& endpoint) {
-  auto bundle = batches_of_turn_.find(endpoint.id);
-  Call* call = bundle == batches_of_turn_.end() ? nullptr : &calls_[bundle->second];
+  auto batch = batches_of_turn_.find(endpoint.id);
+  Call* call = batch == batches_of_turn_.end() ? nullptr : &calls_[batch->second];
   return call && call->document_count < endpoint.route->max_batch_size ? call : nullptr;
 }
 
@@ -70,32 +70,31 @@
   return call && call->document_count < current_batch_limit(*endpoint.route);
 }
 
-// The first endpoint by rank that can take the document. Endpoints with recent failures are used only while
-// no other one can take it.
+// Chooses among the endpoints that can take the document: first those whose open batch it can join, then
+// those without recent failures, then the one with the fewest calls in flight; ties go to the first by rank.
 Endpoint* Decider::choose_endpoint(const Doc& doc, int slots) {
   Endpoint* best = nullptr;
-  auto burden = [&](const Endpoint& e) {
+  auto cost = [&](const Endpoint& e) {
     return std::tuple(!can_join_batch(e), now_<e.deprioritized_until, e.consecutive_failures> 0,
                       e.calls_in_flight);
   };
-  bool shut = true;  // for every document of the destination
+  bool blocked = true;  // for every document of the destination
   for (Endpoint* e : doc.destination->ranked_endpoints) {
     if (!e->accepts_calls()) continue;
-    bool free = slots_taken() < slots && !batch_of_turn(*e) && now_ >= capacity_free_at(*e) &&
-                now_ >= next_call_at(*e->route);
-    if (!free && !can_join_batch(*e)) continue;
-    shut = false;
+    bool can_open_call = slots_taken() < slots && !batch_of_turn(*e) && now_ >= capacity_free_at(*e) &&
+                         now_ >= next_call_at(*e->route);
+    if (!can_open_call && !can_join_batch(*e)) continue;
+    blocked = false;
     if (!may_transmit_to(doc, *e)) continue;
     // A trial call may end without a known outcome: no unsafe document is sent with it while a retry-safe one
-    // waits,
-    // or in one batch with others.
-    bool binding = doc.type->retry_safety == RetrySafety::unsafe,
-         trial = e->route->breaker != BreakerState::closed;
-    if (binding && trial && batch_of_turn(*e)) continue;
-    if (binding && doc.destination->ready_retry_safe > 0 && (trial || is_degraded(*e->route))) continue;
-    if (!best || burden(*e) < burden(*best)) best = e;
+    // waits, or in one batch with others.
+    bool is_unsafe = doc.type->retry_safety == RetrySafety::unsafe,
+         is_trial = e->route->breaker != BreakerState::closed;
+    if (is_unsafe && is_trial && batch_of_turn(*e)) continue;
+    if (is_unsafe && doc.destination->ready_retry_safe > 0 && (is_trial || is_degraded(*e->route))) continue;
+    if (!best || cost(*e) < cost(*best)) best = e;
   }
-  doc.destination->blocked[slots > settings_.slots] = shut;
+  doc.destination->blocked[slots > settings_.slots] = blocked;
   return best;
 }
 
@@ -112,9 +111,10 @@
   auto& number = batches_of_turn_[endpoint.id];
   if (joined) route.tokens -= is_slow_start_limited(route) ? 0.12 : 0;
   else {
-    Millis idle = endpoint.calls_in_flight == 0 ? std::max(0.0, now_ - endpoint.idle_since) : 0;
-    if (idle > actions_.max_idle_time) actions_.closed_connections.push_back({endpoint.id}), idle = 0;
-    calls_[number = ++last_call_number_] = Call{&route, &endpoint, now_, 0, idle};
+    Millis idle_time = endpoint.calls_in_flight == 0 ? std::max(0.0, now_ - endpoint.idle_since) : 0;
+    if (idle_time > actions_.max_idle_time)
+      actions_.closed_connections.push_back({endpoint.id}), idle_time = 0;
+    calls_[number = ++last_call_number_] = Call{&route, &endpoint, now_, 0, idle_time};
     ++calls_started_, ++calls_in_flight_, ++route.calls_in_flight, ++endpoint.calls_in_flight;
     endpoint.not_before = now_ + 1000 / slow_start_rate(route, now_ - endpoint.online_at);
     route.calls.add(now_, 1), route.recent_calls.add(now_, 1);
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -38,21 +38,21 @@
 // stays under one and a half times the limit. With no known limit the relays' own rates sum to the traffic.
 double SlowStart::full_rate(const SlowStartInput& input) const {
   if (input.limit <= 0) return input.own_rate;
-  double part = input.limit / relays_;
-  return part + std::max(0.0, std::min(input.own_rate, input.limit) - part) / 2;
+  double equal_part = input.limit / relays_;
+  return equal_part + std::max(0.0, std::min(input.own_rate, input.limit) - equal_part) / 2;
 }
 
 double SlowStart::rate(const SlowStartInput& input, Millis age) const {
-  double least = 1 / (seconds_between_trials * relays_);
-  double budget = std::max(full_rate(input) * capacity_share(age) * allowed_multiple_, least);
+  double min_rate = 1 / (seconds_between_trials * relays_);
+  double budget = std::max(full_rate(input) * capacity_share(age) * allowed_multiple_, min_rate);
   if (age <= warm_up_time_) return budget;
   return std::max(budget, min_ramp_rate) * std::exp2((age - warm_up_time_) / ramp_doubling_time);
 }
 
-bool SlowStartMonitor::record_call(Millis now, double rate, Millis fall_time) {
-  while (!sent_at_.empty() && sent_at_.front() < now - fall_time) sent_at_.pop_front();
+bool SlowStartMonitor::record_call(Millis now, double rate, Millis overload_window) {
+  while (!sent_at_.empty() && sent_at_.front() < now - overload_window) sent_at_.pop_front();
   sent_at_.push_back(now);
-  return static_cast<double>(sent_at_.size()) > rate * fall_time / 1000 + burst_calls;
+  return static_cast<double>(sent_at_.size()) > rate * overload_window / 1000 + burst_calls;
 }
 
 }  // namespace rockcrank
--- a/src/decision/slow_start.h
+++ b/src/decision/slow_start.h
@@ -19,15 +19,13 @@
 class SlowStart {
  public:
   // After slow start the rate still ramps up: what was held back must not be sent at once, as the time of the
-  // recovery
-  // is each relay's own estimate.
+  // recovery is each relay's own estimate.
   static constexpr Millis ramp_time = 5000;
 
   explicit SlowStart(const Settings& settings);
 
   // Calls per second that this relay may send at this age of the slow start; age 0 applies too while the
-  // destination
-  // may still be down.
+  // destination may still be down.
   double rate(const SlowStartInput& input, Millis age) const;
   // Lower bound of the share of its capacity that the destination has at this age.
   double capacity_share(Millis age) const;
@@ -45,9 +43,8 @@
 class SlowStartMonitor {
  public:
   // Records a call to a destination in slow start, at the rate (calls per second) allowed now. Returns true
-  // if more
-  // calls were sent within the overload window than this relay's part allows.
-  bool record_call(Millis now, double rate, Millis fall_time);
+  // if more calls were sent within the overload window than this relay's part allows.
+  bool record_call(Millis now, double rate, Millis overload_window);
 
  private:
   std::deque<Millis> sent_at_;
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -96,38 +96,38 @@
   std::string log_line(const char* event, std::initializer_list<Field> fields) const {
     char text[120];
     std::snprintf(text, sizeof text, "event=%s route=%llx breaker=%s", event, 0ULL + id, breaker_name());
-    std::string told = text;
+    std::string line = text;
     for (const auto& [field, value] : fields) {
       std::snprintf(text, sizeof text, " %s=%.4g", field, value);
-      told += text;
+      line += text;
     }
-    return told;
+    return line;
   }
 
-  Millis relevant_until(Millis warm, Millis memory) const {
-    return std::max({retry_after_until, slow_start_since + warm, learned_at + memory});
+  Millis relevant_until(Millis warm_up_time, Millis retention) const {
+    return std::max({retry_after_until, slow_start_since + warm_up_time, learned_at + retention});
   }
 
   // The status for other relays. A limit met without hints has nothing left. A Retry-After learned from
   // another relay is not passed on (unless all), as it would grow by the delay on the way.
-  RouteStatus status(bool apart, Millis now, bool cold, bool all) const {
-    RouteStatus to;
-    to.per_endpoint = apart, to.route = id;
-    bool down = breaker == BreakerState::open || breaker == BreakerState::half_open,
-         returning = cold && slow_start_since <= now;
+  RouteStatus status(bool per_endpoint, Millis now, bool in_slow_start, bool all) const {
+    RouteStatus status;
+    status.per_endpoint = per_endpoint, status.route = id;
+    bool is_down = breaker == BreakerState::open || breaker == BreakerState::half_open,
+         is_recovering = in_slow_start && slow_start_since <= now;
     if (all || retry_after_until > learned_retry_after_until)
-      to.retry_after_left = std::max(0.0, retry_after_until - now);
-    to.state = down ? RouteState::down : returning ? RouteState::recovering : RouteState::healthy;
-    to.state_age = now - (down        ? down_seen_at
-                          : returning ? slow_start_since
-                                      : answered_at),
-    to.rate_before_outage = rate_before_outage;
+      status.retry_after_left = std::max(0.0, retry_after_until - now);
+    status.state = is_down ? RouteState::down : is_recovering ? RouteState::recovering : RouteState::healthy;
+    status.state_age = now - (is_down         ? down_seen_at
+                              : is_recovering ? slow_start_since
+                                              : answered_at),
+    status.rate_before_outage = rate_before_outage;
     Millis met_at = std::max(load_hints_at, rate_reduced_at);
     if (rate_limit > 0 && met_at > -never) {
-      to.rate_limit = rate_limit, to.limit_age = now - met_at;
-      to.remaining_share = rate_reduced_at > load_hints_at ? 0 : remaining_share;
+      status.rate_limit = rate_limit, status.limit_age = now - met_at;
+      status.remaining_share = rate_reduced_at > load_hints_at ? 0 : remaining_share;
     }
-    return to;
+    return status;
   }
 };
 
--- a/src/decision/state_archive.h
+++ b/src/decision/state_archive.h
@@ -17,15 +17,16 @@
 namespace rockcrank::state {
 
 template <typename Type>
-concept HasFields = requires(Type& thing) {
-  thing.fields();
+concept HasFields = requires(Type& item) {
+  item.fields();
 };
 
 class StateArchive {
  public:
   StateArchive() : json_({{"form", format_version}}) {}
   explicit StateArchive(const std::string& text) : json_(Json::from_cbor(text)) {
-    if (json_.at("form") != format_version) throw std::runtime_error("the state is of another form");
+    if (json_.at("form") != format_version)
+      throw std::runtime_error("unsupported format version of the state");
   }
   std::string text() const {
     std::string text;
@@ -43,18 +44,18 @@
   }
 
   // Appends an item to a named list, with the key that says where it belongs.
-  template <typename Where, typename Thing>
-  void append(const char* list, Where where, Thing& thing) {
-    json_[list].push_back(Json::array({to_json(where), to_json(thing)}));
+  template <typename Key, typename Item>
+  void append(const char* list, Key key, Item& item) {
+    json_[list].push_back(Json::array({to_json(key), to_json(item)}));
   }
-  template <typename Where, typename Thing, typename Taker>
-  void for_each(const char* list, Taker take) const {
+  template <typename Key, typename Item, typename Visitor>
+  void for_each(const char* list, Visitor visit) const {
     if (!json_.contains(list)) return;
-    for (const auto& one : json_.at(list)) {
-      Where where;
-      Thing thing;
-      from_json(one.at(0), where), from_json(one.at(1), thing);
-      take(where, thing);
+    for (const auto& entry : json_.at(list)) {
+      Key key;
+      Item item;
+      from_json(entry.at(0), key), from_json(entry.at(1), item);
+      visit(key, item);
     }
   }
 
@@ -63,34 +64,34 @@
   static constexpr int format_version = 5;  // changed with every change of a listed field
 
   template <typename Type>
-  static Json to_json(Type&& thing) {
+  static Json to_json(Type&& item) {
     using Plain = std::remove_cvref_t<Type>;
-    if constexpr (std::is_enum_v<Plain>) return static_cast<std::uint64_t>(thing);
-    else if constexpr (std::is_arithmetic_v<Plain>) return thing;
-    else if constexpr (HasFields<Plain>) return to_json(thing.fields());
-    else if constexpr (requires { thing.has_value(); }) return thing ? to_json(*thing) : Json();
+    if constexpr (std::is_enum_v<Plain>) return static_cast<std::uint64_t>(item);
+    else if constexpr (std::is_arithmetic_v<Plain>) return item;
+    else if constexpr (HasFields<Plain>) return to_json(item.fields());
+    else if constexpr (requires { item.has_value(); }) return item ? to_json(*item) : Json();
     else {
       Json list = Json::array();
       if constexpr (requires { std::tuple_size<Plain>::value; })
-        std::apply([&](auto&... part) { (list.push_back(to_json(part)), ...); }, thing);
+        std::apply([&](auto&... part) { (list.push_back(to_json(part)), ...); }, item);
       else
-        for (auto& one : thing) list.push_back(to_json(one));
+        for (auto& entry : item) list.push_back(to_json(entry));
       return list;
     }
   }
 
   template <typename Type>
-  static void from_json(const Json& from, Type& thing) {
-    if constexpr (std::is_enum_v<Type>) thing = Type(from.get<std::uint64_t>());
-    else if constexpr (std::is_arithmetic_v<Type>) thing = from.get<Type>();
+  static void from_json(const Json& from, Type& item) {
+    if constexpr (std::is_enum_v<Type>) item = Type(from.get<std::uint64_t>());
+    else if constexpr (std::is_arithmetic_v<Type>) item = from.get<Type>();
     else if constexpr (HasFields<Type>) {
-      auto parts = thing.fields();
+      auto parts = item.fields();
       from_json(from, parts);
-    } else from_json_array(from, thing);
+    } else from_json_array(from, item);
   }
   template <typename... Parts>
   static void from_json_array(const Json& from, std::tuple<Parts...>& parts) {
-    if (from.size() != sizeof...(Parts)) throw std::runtime_error("the state lacks fields, or has too many");
+    if (from.size() != sizeof...(Parts)) throw std::runtime_error("wrong number of fields in the state");
     std::size_t at = 0;
     std::apply([&](auto&... part) { (from_json(from.at(at++), part), ...); }, parts);
   }
@@ -106,17 +107,17 @@
   template <typename Key>
   static void from_json_array(const Json& from, std::set<Key>& keys) {
     keys.clear();
-    for (const auto& one : from) {
+    for (const auto& entry : from) {
       Key key;
-      from_json(one, key), keys.insert(key);
+      from_json(entry, key), keys.insert(key);
     }
   }
   template <typename Key, typename Value>
   static void from_json_array(const Json& from, std::map<Key, Value>& map) {
     map.clear();
-    for (const auto& one : from) {
+    for (const auto& entry : from) {
       Key key;
-      from_json(one.at(0), key), from_json(one.at(1), map[key]);
+      from_json(entry.at(0), key), from_json(entry.at(1), map[key]);
     }
   }
 
