--- a/src/decision/decision.cpp
+++ b/src/decision/decision.cpp
@@ -167,7 +167,7 @@
     if (should_close_idle(e) || now_ < e.connection_cap_met_at + connection_cap_memory)
       endpoints_to_check_.insert(id);
     if (e.calls_in_flight > 0 || now_ < e.gone_at + max_lifetime_) continue;
-    for (auto& [destination, to] : destinations_) std::erase(to.ranked_endpoints, &e);
+    for (auto& [destination_id, destination] : destinations_) std::erase(destination.ranked_endpoints, &e);
     --e.route->endpoint_count, actions_.forgotten_endpoints.push_back(id);
   }
   for (EndpointId id : actions_.forgotten_endpoints) endpoints_.erase(id), endpoints_to_check_.erase(id);
