--- a/src/decision/key_order.cpp
+++ b/src/decision/key_order.cpp
@@ -1,16 +1,17 @@
-// Messages of one ordered key go one at a time, in the order in which they were taken on.
+// Documents of one ordered key are sent one at a time, in the order in which they were accepted.
 #include "decision/decider.h"
 
 namespace rockcrank::internal {
 
-// Rule 5: documents of one key one at a time, in order; the key rests after an unknown outcome. After a
-// restart each key does, as a message that is over is forgotten, with the rest that it left.
-bool Decider::in_turn(const Doc& doc) {
+// A key settles after an unknown outcome before its next document is sent. After a restart every key does, as
+// documents that ended before it are forgotten, together with the settle time they left.
+bool Decider::is_next_of_key(const Doc& doc) {
   if (!doc.ordered) return true;
-  const KeyLane& lane = lanes_[doc.key];
-  // Guards against a notice that crosses the next one's call: an end counts once the platform has it.
-  bool first = *lane.waiting.begin() == doc.turn_taken && lane.untold.empty();
-  return first && (doc.tries > 0 || (lane.out == 0 && now_ >= rests_until(lane)));
+  const KeyQueue& queue = key_queues_[doc.key];
+  // An end counts once the platform has acknowledged its report, or the report could cross the next
+  // document's call.
+  bool is_first = *queue.waiting.begin() == doc.sequence && queue.unacknowledged_ends.empty();
+  return is_first && (doc.transmissions > 0 || (queue.in_flight == 0 && now_ >= settled_at(queue)));
 }
 
 }  // namespace rockcrank::internal
--- a/src/decision/state_archive.h
+++ b/src/decision/state_archive.h
@@ -1,6 +1,6 @@
-// Owns how the module's state is put into a text and read from it again, for the process that takes this
-// one's place. It knows no field by itself: each type lists its own in fields(). It must never decide, nor
-// make up what is not there: a text that does not fit throws.
+// Serializes the state of the decision module to CBOR for the process that replaces this one, and reads it
+// back. Each type lists its members in fields(). Reading throws where the data does not fit; nothing gets a
+// default.
 #pragma once
 
 #include <cstdint>
@@ -17,110 +17,111 @@
 namespace rockcrank::state {
 
 template <typename Type>
-concept Listing = requires(Type& thing) {
-  thing.fields();
+concept HasFields = requires(Type& item) {
+  item.fields();
 };
 
-class Carried {
+class StateArchive {
  public:
-  Carried() : all_({{"form", form}}) {}
-  explicit Carried(const std::string& text) : all_(Json::from_cbor(text)) {
-    if (all_.at("form") != form) throw std::runtime_error("the state is of another form");
+  StateArchive() : json_({{"form", format_version}}) {}
+  explicit StateArchive(const std::string& text) : json_(Json::from_cbor(text)) {
+    if (json_.at("form") != format_version)
+      throw std::runtime_error("unsupported format version of the state");
   }
   std::string text() const {
     std::string text;
-    Json::to_cbor(all_, text);
+    Json::to_cbor(json_, text);
     return text;
   }
 
   template <typename... Parts>
-  void put(std::tuple<Parts&...> parts) {
-    all_["parts"] = written(parts);
+  void put_fields(std::tuple<Parts&...> parts) {
+    json_["parts"] = to_json(parts);
   }
   template <typename... Parts>
-  void get(std::tuple<Parts&...> parts) const {
-    read(all_.at("parts"), parts);
+  void get_fields(std::tuple<Parts&...> parts) const {
+    from_json(json_.at("parts"), parts);
   }
 
-  // One of a list of things, with what tells where it belongs.
-  template <typename Where, typename Thing>
-  void add(const char* list, Where where, Thing& thing) {
-    all_[list].push_back(Json::array({written(where), written(thing)}));
+  // Appends an item to a named list, with the key that says where it belongs.
+  template <typename Key, typename Item>
+  void append(const char* list, Key key, Item& item) {
+    json_[list].push_back(Json::array({to_json(key), to_json(item)}));
   }
-  template <typename Where, typename Thing, typename Taker>
-  void each(const char* list, Taker take) const {
-    if (!all_.contains(list)) return;
-    for (const auto& one : all_.at(list)) {
-      Where where;
-      Thing thing;
-      read(one.at(0), where), read(one.at(1), thing);
-      take(where, thing);
+  template <typename Key, typename Item, typename Visitor>
+  void for_each(const char* list, Visitor visit) const {
+    if (!json_.contains(list)) return;
+    for (const auto& entry : json_.at(list)) {
+      Key key;
+      Item item;
+      from_json(entry.at(0), key), from_json(entry.at(1), item);
+      visit(key, item);
     }
   }
 
  private:
   using Json = nlohmann::json;
-  static constexpr int form = 5;  // changed with every change of a listed field
+  static constexpr int format_version = 5;  // changed with every change of a listed field
 
   template <typename Type>
-  static Json written(Type&& thing) {
+  static Json to_json(Type&& item) {
     using Plain = std::remove_cvref_t<Type>;
-    if constexpr (std::is_enum_v<Plain>) return static_cast<std::uint64_t>(thing);
-    else if constexpr (std::is_arithmetic_v<Plain>) return thing;
-    else if constexpr (Listing<Plain>) return written(thing.fields());
-    else if constexpr (requires { thing.has_value(); }) return thing ? written(*thing) : Json();
+    if constexpr (std::is_enum_v<Plain>) return static_cast<std::uint64_t>(item);
+    else if constexpr (std::is_arithmetic_v<Plain>) return item;
+    else if constexpr (HasFields<Plain>) return to_json(item.fields());
+    else if constexpr (requires { item.has_value(); }) return item ? to_json(*item) : Json();
     else {
       Json list = Json::array();
       if constexpr (requires { std::tuple_size<Plain>::value; })
-        std::apply([&](auto&... part) { (list.push_back(written(part)), ...); }, thing);
+        std::apply([&](auto&... part) { (list.push_back(to_json(part)), ...); }, item);
       else
-        for (auto& one : thing) list.push_back(written(one));
+        for (auto& entry : item) list.push_back(to_json(entry));
       return list;
     }
   }
 
   template <typename Type>
-  static void read(const Json& from, Type& thing) {
-    if constexpr (std::is_enum_v<Type>) thing = Type(from.get<std::uint64_t>());
-    else if constexpr (std::is_arithmetic_v<Type>) thing = from.get<Type>();
-    else if constexpr (Listing<Type>) {
-      auto parts = thing.fields();
-      read(from, parts);
-    } else read_several(from, thing);
+  static void from_json(const Json& from, Type& item) {
+    if constexpr (std::is_enum_v<Type>) item = Type(from.get<std::uint64_t>());
+    else if constexpr (std::is_arithmetic_v<Type>) item = from.get<Type>();
+    else if constexpr (HasFields<Type>) {
+      auto parts = item.fields();
+      from_json(from, parts);
+    } else from_json_array(from, item);
   }
   template <typename... Parts>
-  static void read_several(const Json& from, std::tuple<Parts...>& parts) {
-    if (from.size() != sizeof...(Parts)) throw std::runtime_error("the state lacks fields, or has too many");
+  static void from_json_array(const Json& from, std::tuple<Parts...>& parts) {
+    if (from.size() != sizeof...(Parts)) throw std::runtime_error("wrong number of fields in the state");
     std::size_t at = 0;
-    std::apply([&](auto&... part) { (read(from.at(at++), part), ...); }, parts);
+    std::apply([&](auto&... part) { (from_json(from.at(at++), part), ...); }, parts);
   }
   template <typename A, typename B>
-  static void read_several(const Json& from, std::pair<A, B>& pair) {
-    read(from.at(0), pair.first), read(from.at(1), pair.second);
+  static void from_json_array(const Json& from, std::pair<A, B>& pair) {
+    from_json(from.at(0), pair.first), from_json(from.at(1), pair.second);
   }
   template <typename Value>
-  static void read_several(const Json& from, std::optional<Value>& value) {
+  static void from_json_array(const Json& from, std::optional<Value>& value) {
     if (from.is_null()) return value.reset();
-    read(from, value.emplace());
+    from_json(from, value.emplace());
   }
   template <typename Key>
-  static void read_several(const Json& from, std::set<Key>& keys) {
+  static void from_json_array(const Json& from, std::set<Key>& keys) {
     keys.clear();
-    for (const auto& one : from) {
+    for (const auto& entry : from) {
       Key key;
-      read(one, key), keys.insert(key);
+      from_json(entry, key), keys.insert(key);
     }
   }
   template <typename Key, typename Value>
-  static void read_several(const Json& from, std::map<Key, Value>& map) {
+  static void from_json_array(const Json& from, std::map<Key, Value>& map) {
     map.clear();
-    for (const auto& one : from) {
+    for (const auto& entry : from) {
       Key key;
-      read(one.at(0), key), read(one.at(1), map[key]);
+      from_json(entry.at(0), key), from_json(entry.at(1), map[key]);
     }
   }
 
-  Json all_;
+  Json json_;
 };
 
 }  // namespace rockcrank::state
