--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -172,7 +172,7 @@
       run_guarded(instance, [&](Decision& d) {
         instance.gossip->begin_turn(to_millis(clock));
         instance.gossip->on_datagram(peer::unpacked<fleet::RouteDatagram>(base64_decode(data)));
-        for (const auto& known : instance.gossip->take_reports()) d.apply_route_status(known);
+        for (const auto& known : instance.gossip->take_route_statuses()) d.apply_route_status(known);
       });
   }
   fields.end();
--- a/src/bench/latest_bench.cpp
+++ b/src/bench/latest_bench.cpp
@@ -10,13 +10,13 @@
 #include <string>
 
 #include "peer/codec.h"
-#include "peer/latest_log.h"
+#include "peer/persistent_log.h"
 
 namespace {
 
 using namespace rockcrank;
 using namespace rockcrank::latest;
-using peer::LatestLog;
+using peer::PersistentLog;
 
 constexpr StreamId stream{7};
 constexpr DestinationId joiner{5};
@@ -27,7 +27,7 @@
 LatestSettings settings_for(std::vector<DestinationId> subscribers) {
   LatestSettings settings;
   settings.streams = {{stream, "status", std::move(subscribers), 86400000, 1000, 0.5}};
-  settings.segment_bytes = 1 << 20, settings.disk_bytes = 64 << 20, settings.version_ahead = 60000;
+  settings.segment_bytes = 1 << 20, settings.max_disk_bytes = 64 << 20, settings.max_clock_offset = 60000;
   return settings;
 }
 
@@ -46,15 +46,15 @@
 };
 
 struct Play {
-  std::unique_ptr<LatestLog> log;
+  std::unique_ptr<PersistentLog> log;
   Millis now = 1000;
   std::uint64_t taken_bytes = 0, delivered = 0;
 
   void open(const std::string& folder, const fleet::Roster& roster, fleet::MemberId self,
             std::vector<DestinationId> subscribers) {
     log.reset();
-    log = std::make_unique<LatestLog>(peer::disk_files(folder), folder, roster, self,
-                                      settings_for(std::move(subscribers)), 1 << 20, 1, now, 1e12 + now);
+    log = std::make_unique<PersistentLog>(peer::make_disk_file_system(folder), folder, roster, self,
+                                          settings_for(std::move(subscribers)), 1 << 20, 1, now, 1e12 + now);
   }
   void take(std::uint64_t key, std::uint64_t number) {
     Record record;
@@ -62,14 +62,14 @@
     record.id = "doc-" + std::to_string(number);
     record.body = std::string(180 + number % 41, 'b') + record.id;
     taken_bytes += peer::packed(record).size();
-    log->begin(now, 1e12 + now);
-    log->take(std::move(record));
+    log->begin_turn(now, 1e12 + now);
+    log->append_local(std::move(record));
   }
-  LatestLog::Decided turn(Millis passes) {
+  PersistentLog::Actions turn(Millis passes) {
     now += passes;
-    log->begin(now, 1e12 + now);
+    log->begin_turn(now, 1e12 + now);
     auto decided = log->decide();
-    for (const auto& going : decided.deliver) ++delivered, log->module().ended(going, true);
+    for (const auto& going : decided.deliver) ++delivered, log->module().on_delivery_ended(going, true);
     return decided;
   }
   void rest(Millis time) {
@@ -97,7 +97,7 @@
         static_cast<double>(folder.bytes()) / static_cast<double>(usage.live_bytes);
     state.counters["disk_under_load"] = static_cast<double>(most) / static_cast<double>(usage.live_bytes);
     state.counters["write_amplification"] =
-        static_cast<double>(play.log->segments().appended()) / static_cast<double>(play.taken_bytes);
+        static_cast<double>(play.log->segments().appended_bytes()) / static_cast<double>(play.taken_bytes);
     state.counters["memory_a_key"] =
         static_cast<double>(usage.memory_bytes) / static_cast<double>(usage.keys);
     auto before = std::chrono::steady_clock::now();
@@ -138,25 +138,25 @@
       record.stream = stream, record.key = "account-" + std::to_string(i),
       record.id = "doc-" + std::to_string(i);
       record.body = std::string(200, 'b'),
-      record.stamp = {1000000000000, static_cast<std::uint32_t>(i), fleet::MemberId(1)};
+      record.timestamp = {1000000000000, static_cast<std::uint32_t>(i), fleet::MemberId(1)};
       LatestMessage message;
       message.records = {record}, whole += peer::packed(record).size();
-      one.log->heard(fleet::MemberId(2), message);
-      if (i % 100 == 0) record.stamp.wall -= 1000, record.body[0] = 'a', message.records = {record};
-      other.log->heard(fleet::MemberId(1), message);
+      one.log->on_message(fleet::MemberId(2), message);
+      if (i % 100 == 0) record.timestamp.wall_time -= 1000, record.body[0] = 'a', message.records = {record};
+      other.log->on_message(fleet::MemberId(1), message);
     }
     auto start = one.now;
     for (bool up : {true}) {
-      one.log->begin(one.now, 1e12), one.log->module().linked(fleet::MemberId(2), up);
-      other.log->begin(other.now, 1e12), other.log->module().linked(fleet::MemberId(1), up);
+      one.log->begin_turn(one.now, 1e12), one.log->module().on_link_change(fleet::MemberId(2), up);
+      other.log->begin_turn(other.now, 1e12), other.log->module().on_link_change(fleet::MemberId(1), up);
     }
     while (one.log->module().digest(stream) != other.log->module().digest(stream) &&
            one.now < start + 600000) {
       auto there = one.turn(5), back = other.turn(5);
       for (const auto& [to, message] : there.sends)
-        moved += peer::packed(message).size(), ++messages, other.log->heard(fleet::MemberId(1), message);
+        moved += peer::packed(message).size(), ++messages, other.log->on_message(fleet::MemberId(1), message);
       for (const auto& [to, message] : back.sends)
-        moved += peer::packed(message).size(), ++messages, one.log->heard(fleet::MemberId(2), message);
+        moved += peer::packed(message).size(), ++messages, one.log->on_message(fleet::MemberId(2), message);
     }
     state.counters["bytes_of_whole"] = static_cast<double>(moved) / static_cast<double>(whole);
     state.counters["virtual_ms"] = one.now - start;
--- a/src/fleet/registers.cpp
+++ b/src/fleet/registers.cpp
@@ -241,7 +241,7 @@
     refill_tokens();
     update_caught_up();
     run_by_priority(*this, rules);
-    for (const auto& name : std::exchange(changed_, {})) actions_.route_reports.push_back(report_of(name));
+    for (const auto& name : std::exchange(changed_, {})) actions_.route_statuses.push_back(report_of(name));
     report_conflicts();
     actions_.wake_in = next_wake_up();
     wake_up_at_ = actions_.wake_in < 0 ? -1 : now_ + actions_.wake_in;
--- a/src/fleet/registers.h
+++ b/src/fleet/registers.h
@@ -105,7 +105,7 @@
   };
   struct Actions {
     OutgoingMessages<RegisterMessage> sends;
-    std::vector<RouteStatus> route_reports;    // for Decision::apply_route_status
+    std::vector<RouteStatus> route_statuses;   // for Decision::apply_route_status
     std::vector<OfflineOrder> offline_orders;  // operators' orders that were given on other relays
     std::vector<std::string> conflicts;        // equal versions, different content; each once
     std::vector<std::string> log;
--- a/src/fleet/route_gossip.cpp
+++ b/src/fleet/route_gossip.cpp
@@ -74,7 +74,7 @@
     }
   }
 
-  std::vector<RouteStatus> take_reports() override { return std::exchange(reports_, {}); }
+  std::vector<RouteStatus> take_route_statuses() override { return std::exchange(reports_, {}); }
 
   Actions decide() override {
     for (auto& [key, queued] : queue_)
--- a/src/fleet/route_gossip.h
+++ b/src/fleet/route_gossip.h
@@ -41,7 +41,7 @@
   virtual void publish(const RouteStatus& status) = 0;  // from Decision::route_statuses(false)
   virtual void on_datagram(const RouteDatagram& datagram) = 0;
   // What was received since the last call, for Decision::apply_route_status.
-  virtual std::vector<RouteStatus> take_reports() = 0;
+  virtual std::vector<RouteStatus> take_route_statuses() = 0;
   virtual Actions decide() = 0;
 };
 
--- a/src/latest/compaction.cpp
+++ b/src/latest/compaction.cpp
@@ -24,7 +24,7 @@
   segment.stream = stream, segment.sealed = sealed;
 }
 
-void Compaction::added(const Place& place, bool live, std::uint64_t wall) {
+void Compaction::added(const LogLocation& place, bool live, std::uint64_t wall) {
   Segment& segment = segments_[place.segment];
   segment.bytes += place.bytes, segment.live += live ? place.bytes : 0;
   segment.youngest = std::max(segment.youngest, wall), segment.added_at = now_;
@@ -64,12 +64,12 @@
 
 bool Compaction::is_short() const {
   return static_cast<double>(bytes()) + short_segments * static_cast<double>(settings_.segment_bytes) >
-         static_cast<double>(settings_.disk_bytes);
+         static_cast<double>(settings_.max_disk_bytes);
 }
 
 bool Compaction::aged(const Segment& segment) const {
   auto stream = of(segment);
-  return stream && wall_ >= static_cast<double>(segment.youngest) + stream->least_age;
+  return stream && wall_ >= static_cast<double>(segment.youngest) + stream->min_compaction_lag;
 }
 
 double Compaction::share(const Segment& segment) const {
@@ -85,7 +85,7 @@
     auto stream = of(segment);
     if (!stream || !aged(segment)) continue;
     if (!segment.sealed && now_ < segment.added_at + quiet_after) continue;
-    double share = this->share(segment), worth = stream->superseded_share;
+    double share = this->share(segment), worth = stream->min_dirty_ratio;
     if (share >= (is_short ? std::min(worth, worth_when_short) : worth) && share > most)
       best = id, most = share;
   }
--- a/src/latest/compaction.h
+++ b/src/latest/compaction.h
@@ -20,7 +20,7 @@
   void begin(Millis now, Millis wall) { now_ = now, wall_ = wall; }
   void segment(SegmentId id, StreamId stream, bool sealed);
   // Of frames: put there, at the wall time of the record; superseded or purged.
-  void added(const Place& place, bool live, std::uint64_t wall);
+  void added(const LogLocation& place, bool live, std::uint64_t wall);
   void dead(SegmentId segment, std::uint32_t bytes);
   void revived(SegmentId segment, std::uint32_t bytes);
   void removed(SegmentId id) { segments_.erase(id); }
--- a/src/latest/duty.cpp
+++ b/src/latest/delivery_lease.cpp
@@ -2,11 +2,11 @@
 // that both believe to have it one is wrong about the time by more than the drift: nothing else may make that
 // so.
 
-#include "latest/duty.h"
+#include "latest/delivery_lease.h"
 
 #include <algorithm>
 
-#include "latest/shelf.h"
+#include "latest/digest_tree.h"
 
 namespace rockcrank::latest {
 namespace {
@@ -43,26 +43,27 @@
 }
 
 // Rendezvous hashing: each lane has a ring of its own, and a member that goes moves only its own lanes.
-int Duties::rank(const Lane& lane, fleet::MemberId member) const {
+int Duties::rank(const Subscription& lane, fleet::MemberId member) const {
   auto place = [&](fleet::MemberId one) {
-    auto whole = mixed(static_cast<std::uint64_t>(lane.stream), static_cast<std::uint64_t>(lane.subscriber));
-    return std::pair(mixed(whole, static_cast<std::uint64_t>(one)), one);
+    auto whole =
+        hash_combine(static_cast<std::uint64_t>(lane.stream), static_cast<std::uint64_t>(lane.subscriber));
+    return std::pair(hash_combine(whole, static_cast<std::uint64_t>(one)), one);
   };
   auto own = place(member);
   return static_cast<int>(std::ranges::count_if(alive_, [&](auto one) { return place(one) < own; }));
 }
 
-Grant Duties::vote(fleet::MemberId from, const Ask& ask) {
-  Grant grant{ask.lane, ask.epoch, ask.asked, false};
+LeaseResponse Duties::vote(fleet::MemberId from, const LeaseRequest& ask) {
+  LeaseResponse grant{ask.subscription, ask.epoch, ask.requested_at, false};
   if (!roster_.count(from)) return grant;
-  Term& term = terms_[ask.lane];
-  term.lane = ask.lane, term.highest = std::max(term.highest, ask.epoch);
+  Term& term = terms_[ask.subscription];
+  term.lane = ask.subscription, term.highest = std::max(term.highest, ask.epoch);
   if (ask.release) {
     if (term.holder == from && term.held_epoch == ask.epoch)
       term.held_until = std::min(term.held_until, now_);
     return grant;
   }
-  if (from != self_ && rank(ask.lane, from) < rank(ask.lane, self_)) term.nearer_asked = now_;
+  if (from != self_ && rank(ask.subscription, from) < rank(ask.subscription, self_)) term.nearer_asked = now_;
   bool free = now_ >= quiet_until_ && (term.holder == from || now_ >= term.held_until);
   if (!free || ask.epoch < term.held_epoch) return grant.epoch = term.highest, grant;
   term.holder = from, term.held_epoch = ask.epoch, term.held_until = now_ + lease * (1 + drift);
@@ -70,26 +71,26 @@
   return grant;
 }
 
-bool Duties::holds(const Lane& lane, fleet::MemberId member, std::uint64_t epoch) const {
+bool Duties::holds(const Subscription& lane, fleet::MemberId member, std::uint64_t epoch) const {
   auto found = terms_.find(lane);
   return found != terms_.end() && found->second.holder == member && found->second.held_epoch == epoch &&
          now_ < found->second.held_until;
 }
 
-void Duties::granted(fleet::MemberId from, const Grant& grant) {
-  auto found = terms_.find(grant.lane);
+void Duties::granted(fleet::MemberId from, const LeaseResponse& grant) {
+  auto found = terms_.find(grant.subscription);
   if (found == terms_.end()) return;
   Term& term = found->second;
   term.highest = std::max(term.highest, grant.epoch);
-  if (!term.standing || grant.asked > now_) return;
+  if (!term.standing || grant.requested_at > now_) return;
   if (!grant.granted) {
-    term.refused |= now_ - grant.asked < lease;
+    term.refused |= now_ - grant.requested_at < lease;
     return;
   }
   if (grant.epoch != term.epoch) return;
   // Counted from the moment of asking, which came before the voter's.
   Millis& until = term.votes.try_emplace(from, -1).first->second;
-  until = std::max(until, grant.asked + lease * (1 - drift));
+  until = std::max(until, grant.requested_at + lease * (1 - drift));
 }
 
 int Duties::votes(const Term& term, Millis now) const {
@@ -97,26 +98,26 @@
       std::ranges::count_if(term.votes, [&](const auto& vote) { return now < vote.second; }));
 }
 
-bool Duties::has(const Lane& lane, Millis now) const {
+bool Duties::has(const Subscription& lane, Millis now) const {
   auto found = terms_.find(lane);
   return found != terms_.end() && found->second.standing && votes(found->second, now) >= majority_;
 }
 
-bool Duties::yields(const Lane& lane) const {
+bool Duties::yields(const Subscription& lane) const {
   auto found = terms_.find(lane);
   return found == terms_.end() || found->second.yielding || leaving_;
 }
 
-std::uint64_t Duties::epoch(const Lane& lane) const {
+std::uint64_t Duties::epoch(const Subscription& lane) const {
   auto found = terms_.find(lane);
   return found == terms_.end() ? 0 : found->second.epoch;
 }
 
 void Duties::send(Term& term, bool release) {
   for (auto member : roster_) {
-    Ask ask{term.lane, term.epoch, now_, release};
+    LeaseRequest ask{term.lane, term.epoch, now_, release};
     if (member == self_) {
-      Grant grant = vote(self_, ask);
+      LeaseResponse grant = vote(self_, ask);
       if (!release) granted(self_, grant);
     } else if (linked_.count(member)) {
       out_.push_back({member, ask});
@@ -174,12 +175,12 @@
     {"asks, and asks on", &Duties::asks, &Duties::ask},
 };
 
-std::vector<Duties::To> Duties::decide(const std::set<Lane>& lanes,
-                                       const std::function<bool(const Lane&)>& none_out,
+std::vector<Duties::To> Duties::decide(const std::set<Subscription>& lanes,
+                                       const std::function<bool(const Subscription&)>& none_out,
                                        std::minstd_rand& chance) {
   chance_ = &chance, none_out_ = &none_out, due_ = 1e18;
   out_.clear();
-  for (const Lane& lane : lanes) {
+  for (const Subscription& lane : lanes) {
     Term& term = terms_[lane];
     term.lane = lane;
     fleet::run_until_stable(*this, rules_, term);
--- a/src/latest/duty.h
+++ b/src/latest/delivery_lease.h
@@ -24,27 +24,28 @@
   void leave() { leaving_ = true; }
 
   // As a voter.
-  Grant vote(fleet::MemberId from, const Ask& ask);
-  bool holds(const Lane& lane, fleet::MemberId member, std::uint64_t epoch) const;  // as this voter knows
+  LeaseResponse vote(fleet::MemberId from, const LeaseRequest& ask);
+  bool holds(const Subscription& lane, fleet::MemberId member,
+             std::uint64_t epoch) const;  // as this voter knows
 
   // As a candidate.
-  void granted(fleet::MemberId from, const Grant& grant);
-  bool has(const Lane& lane, Millis now) const;
-  bool yields(const Lane& lane) const;  // nothing new is begun: another is to have it
-  std::uint64_t epoch(const Lane& lane) const;
+  void granted(fleet::MemberId from, const LeaseResponse& grant);
+  bool has(const Subscription& lane, Millis now) const;
+  bool yields(const Subscription& lane) const;  // nothing new is begun: another is to have it
+  std::uint64_t epoch(const Subscription& lane) const;
   // Its asks of this turn, put into messages by the caller; none_out: nothing is under way for the lane.
   struct To {
     fleet::MemberId to{};
-    Ask ask;
+    LeaseRequest ask;
   };
-  std::vector<To> decide(const std::set<Lane>& lanes, const std::function<bool(const Lane&)>& none_out,
-                         std::minstd_rand& chance);
+  std::vector<To> decide(const std::set<Subscription>& lanes,
+                         const std::function<bool(const Subscription&)>& none_out, std::minstd_rand& chance);
   Millis due() const { return due_; }
   int majority() const { return majority_; }
 
  private:
   struct Term {
-    Lane lane;
+    Subscription lane;
     // As a candidate.
     std::uint64_t epoch = 0, highest = 0;
     std::map<fleet::MemberId, Millis> votes;  // until when each lasts
@@ -55,7 +56,7 @@
     std::uint64_t held_epoch = 0;
     Millis held_until = 0, nearer_asked = -1e18;
   };
-  int rank(const Lane& lane, fleet::MemberId member) const;  // among those alive
+  int rank(const Subscription& lane, fleet::MemberId member) const;  // among those alive
   int votes(const Term& term, Millis now) const;
   bool gives_back(Term& term);
   void give_back(Term& term);
@@ -75,12 +76,12 @@
   const fleet::MemberId self_;
   std::set<fleet::MemberId> roster_, alive_, linked_;
   int majority_;
-  std::map<Lane, Term> terms_;
+  std::map<Subscription, Term> terms_;
   Millis now_ = 0, quiet_until_ = -1, due_ = 0;
   bool leaving_ = false;
   std::vector<To> out_;
   std::minstd_rand* chance_ = nullptr;
-  const std::function<bool(const Lane&)>* none_out_ = nullptr;
+  const std::function<bool(const Subscription&)>* none_out_ = nullptr;
   static const fleet::Rule<Duties, Term> rules_[];
 };
 
--- a/src/latest/shelf.h
+++ b/src/latest/digest_tree.h
@@ -11,26 +11,28 @@
 
 namespace rockcrank::latest {
 
-inline std::uint64_t mixed(std::uint64_t a, std::uint64_t b) {
+inline std::uint64_t hash_combine(std::uint64_t a, std::uint64_t b) {
   std::uint64_t x = a * 0x9e3779b97f4a7c15ULL + b;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ULL;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebULL;
   return x ^ (x >> 31);
 }
-inline std::uint64_t mixed(const Stamp& stamp, std::uint64_t with) {
-  return mixed(mixed(mixed(stamp.wall, stamp.count), static_cast<std::uint64_t>(stamp.origin)), with);
+inline std::uint64_t hash_combine(const HybridTimestamp& stamp, std::uint64_t with) {
+  return hash_combine(
+      hash_combine(hash_combine(stamp.wall_time, stamp.counter), static_cast<std::uint64_t>(stamp.origin)),
+      with);
 }
 
 template <typename Item>  // with key, and sum()
-class Shelf {
+class DigestTree {
  public:
   struct Sum {
-    std::uint64_t sum = 0, keys = 0;
+    std::uint64_t sum = 0, key_count = 0;
     bool operator==(const Sum&) const = default;
   };
 
   std::size_t size() const { return size_; }
-  std::size_t memory() const {
+  std::size_t memory_bytes() const {
     std::size_t bytes = sums_.capacity() * sizeof(Sum) + cells_.capacity() * sizeof(cells_[0]);
     for (const auto& cell : cells_) bytes += cell.capacity() * sizeof(Item) + 16;  // 16: of the heap's own
     return bytes;
@@ -43,7 +45,7 @@
   }
 
   // Added, or in the place of the one of its key.
-  void put(const Item& item) {
+  void upsert(const Item& item) {
     auto number = cell_of(item.key.high);
     auto& cell = cells_[number];
     auto at = std::ranges::lower_bound(cell, item.key, {}, &Item::key);
@@ -71,12 +73,12 @@
   Sum sum(std::uint64_t prefix, int bits) const {
     if (bits <= depth_) return sums_[(std::size_t{1} << bits) + (bits ? prefix >> (64 - bits) : 0)];
     Sum sum;
-    each(prefix, bits, [&](const Item& item) { add(sum, item, true); });
+    for_each(prefix, bits, [&](const Item& item) { add(sum, item, true); });
     return sum;
   }
 
   template <typename Taker>
-  void each(std::uint64_t prefix, int bits, Taker take) const {
+  void for_each(std::uint64_t prefix, int bits, Taker take) const {
     std::uint64_t last = bits ? prefix | (bits < 64 ? ~std::uint64_t{0} >> bits : 0) : ~std::uint64_t{0};
     for (auto number = cell_of(prefix), end = cell_of(last); number <= end; ++number)
       for (const Item& item : cells_[number])
@@ -84,7 +86,7 @@
   }
 
   // The first at or behind this key, in the order of hashes; none: null.
-  const Item* from(const KeyHash& key) const {
+  const Item* lower_bound(const KeyHash& key) const {
     for (auto number = cell_of(key.high); number < cells_.size(); ++number) {
       const auto& cell = cells_[number];
       auto at = std::ranges::lower_bound(cell, key, {}, &Item::key);
@@ -100,7 +102,7 @@
   static void add(Sum& sum, const Item& item, bool more) {
     auto one = item.sum();
     if (one == 0) return;
-    sum.sum += more ? one : 0 - one, sum.keys += more ? 1 : ~std::uint64_t{0};
+    sum.sum += more ? one : 0 - one, sum.key_count += more ? 1 : ~std::uint64_t{0};
   }
   void count(std::size_t number, const Item& item, bool more) {
     for (auto node = cells_.size() + number; node > 0; node /= 2) add(sums_[node], item, more);
@@ -121,7 +123,7 @@
       for (const Item& item : cells_[i]) add(sums_[cells_.size() + i], item, true);
     for (auto node = cells_.size() - 1; node > 0; --node) {
       sums_[node].sum = sums_[2 * node].sum + sums_[2 * node + 1].sum;
-      sums_[node].keys = sums_[2 * node].keys + sums_[2 * node + 1].keys;
+      sums_[node].key_count = sums_[2 * node].key_count + sums_[2 * node + 1].key_count;
     }
   }
 
--- a/src/latest/latest.cpp
+++ b/src/latest/latest.cpp
@@ -15,8 +15,8 @@
 
 #include "fleet/rules.h"
 #include "latest/compaction.h"
-#include "latest/duty.h"
-#include "latest/shelf.h"
+#include "latest/delivery_lease.h"
+#include "latest/digest_tree.h"
 
 namespace rockcrank::latest {
 namespace {
@@ -39,46 +39,48 @@
 
 struct Item {
   KeyHash key;
-  Stamp stamp;
+  HybridTimestamp stamp;
   std::uint64_t content = 0;
-  Place place;
+  LogLocation place;
   std::uint16_t frames = 1;  // of its key on disk, superseded ones too: a tombstone outlives them all
   bool tombstone = false, expired = false;
   // A tombstone past its life counts for nothing, so that one relay may drop it before another.
-  std::uint64_t sum() const { return expired ? 0 : mixed(stamp, mixed(key.high, key.low) ^ content) | 1; }
+  std::uint64_t sum() const {
+    return expired ? 0 : hash_combine(stamp, hash_combine(key.high, key.low) ^ content) | 1;
+  }
 };
 
 struct Noted {
   KeyHash key;
-  Stamp stamp;
+  HybridTimestamp stamp;
   SegmentId segment{};
   std::uint16_t bytes = 0;  // of its frame there; 0: not kept yet
   bool had = false;
-  std::uint64_t sum() const { return mixed(stamp, mixed(key.high, key.low) + had) | 1; }
+  std::uint64_t sum() const { return hash_combine(stamp, hash_combine(key.high, key.low) + had) | 1; }
 };
 
 struct Tombstone {
   Millis expired_at = never;  // by the loop's clock
 };
 struct Own {
-  Stamp stamp;
+  HybridTimestamp stamp;
   std::uint64_t until = 0;
 };
 
 struct Stream {
   StreamSettings settings;
-  Shelf<Item> items;
+  DigestTree<Item> items;
   std::map<KeyHash, Tombstone> tombstones;
   // Delivered to a subscriber by the document itself, until then.
   std::map<std::pair<KeyHash, DestinationId>, Own> own;
   std::set<KeyHash> ghosts;  // purged, with the tombstone's record on disk still
   std::map<fleet::MemberId, std::array<Millis, cells>> alike_at;  // when a cell was last found alike there
-  Stamp purged;                                                   // the highest that was
+  HybridTimestamp purged;                                         // the highest that was
 };
 
 enum class Stage { noting, out };
 struct Flight {
-  Stamp stamp;
+  HybridTimestamp stamp;
   Stage stage = Stage::noting;
   bool backlog = false;
   Millis since = 0;
@@ -89,8 +91,8 @@
 };
 // One subscriber of one stream.
 struct Reader {
-  Lane lane;
-  Shelf<Noted> marks;
+  Subscription lane;
+  DigestTree<Noted> marks;
   bool named = false;           // by the settings; else one that left, whose marks are kept
   std::optional<KeyHash> pass;  // of all keys: from here on; none: it is over
   std::set<KeyHash> news;       // changed since
@@ -109,11 +111,11 @@
 struct Batch {
   Millis sent = 0;
   std::set<fleet::MemberId> noted;
-  std::vector<Latest::Delivery> goings;
-  std::vector<std::pair<StreamId, Stamp>> pushed;
+  std::vector<CompactedLog::Delivery> goings;
+  std::vector<std::pair<StreamId, HybridTimestamp>> pushed;
 };
 
-class Keeper final : public Latest {
+class Keeper final : public CompactedLog {
  public:
   Keeper(const fleet::Roster& roster, fleet::MemberId self, const LatestSettings& settings,
          std::uint64_t seed)
@@ -127,33 +129,33 @@
     for (const auto& stream : settings.streams) {
       streams_[stream.id].settings = stream;
       for (auto subscriber : stream.subscribers) {
-        Lane lane{stream.id, subscriber};
+        Subscription lane{stream.id, subscriber};
         reader(lane).named = true, named_.insert(lane);
       }
     }
   }
 
-  void begin(Millis now, Millis wall) override {
+  void begin_turn(Millis now, Millis wall) override {
     now_ = now, wall_ = wall;
     duties_.begin(now), compaction_.begin(now, wall);
   }
 
-  void segment(SegmentId id, StreamId stream, bool sealed) override {
+  void add_segment(SegmentId id, StreamId stream, bool sealed) override {
     compaction_.segment(id, stream, sealed);
   }
-  void recovered(const Entry& entry, const Place& place) override { put(entry, place); }
-  void recovered(const Mark& mark, const Place& place) override {
-    if (!streams_.count(mark.lane.stream)) return;
-    Reader& reader = this->reader(mark.lane);
+  void on_recovered(const RecordHeader& entry, const LogLocation& place) override { put(entry, place); }
+  void on_recovered(const DeliveryState& mark, const LogLocation& place) override {
+    if (!streams_.count(mark.subscription.stream)) return;
+    Reader& reader = this->reader(mark.subscription);
     const Noted* before = reader.marks.find(mark.key);
     bool counts = !before || higher(mark, *before);
     compaction_.added(place, counts, 0);
     if (!counts) return;
     if (before) compaction_.dead(before->segment, before->bytes);
-    reader.marks.put(
-        {mark.key, mark.stamp, place.segment, static_cast<std::uint16_t>(place.bytes), mark.had});
+    reader.marks.upsert(
+        {mark.key, mark.timestamp, place.segment, static_cast<std::uint16_t>(place.bytes), mark.delivered});
   }
-  void lost(StreamId id, const KeyHash& key, const Place& place) override {
+  void on_record_unreadable(StreamId id, const KeyHash& key, const LogLocation& place) override {
     auto found = streams_.find(id);
     const Item* item = found == streams_.end() ? nullptr : found->second.items.find(key);
     if (!item || item->place != place) return;
@@ -161,11 +163,11 @@
     found->second.tombstones.erase(key), found->second.items.erase(key);
   }
 
-  void alive(const std::vector<fleet::MemberId>& members) override {
+  void set_alive(const std::vector<fleet::MemberId>& members) override {
     duties_.alive(members);
     for (auto& [id, peer] : peers_) peer.alive = std::ranges::find(members, id) != members.end();
   }
-  void linked(fleet::MemberId id, bool up) override {
+  void on_link_change(fleet::MemberId id, bool up) override {
     auto found = peers_.find(id);
     if (found == peers_.end()) return;
     duties_.linked(id, up);
@@ -175,83 +177,89 @@
   }
 
   // Wall time, but never back; heard stamps push it on, up to what may lie ahead.
-  std::optional<Stamp> stamp(StreamId stream, const KeyHash& key) override {
+  std::optional<HybridTimestamp> next_timestamp(StreamId stream, const KeyHash& key) override {
     auto wall = static_cast<std::uint64_t>(std::max(0.0, wall_));
-    if (last_.wall > wall && static_cast<double>(last_.wall) > wall_ + settings_.version_ahead)
+    if (last_.wall_time > wall && static_cast<double>(last_.wall_time) > wall_ + settings_.max_clock_offset)
       return std::nullopt;
-    if (last_.wall >= wall) ++last_.count;
-    else last_.wall = wall, last_.count = 0;
+    if (last_.wall_time >= wall) ++last_.counter;
+    else last_.wall_time = wall, last_.counter = 0;
     last_.origin = self_;
     const Item* item = find(stream, key);
     return item && item->stamp >= last_ ? std::nullopt : std::optional(last_);
   }
 
-  Verdict judge(const Entry& entry) override {
+  RecordCheck check_record(const RecordHeader& entry) override {
     auto found = streams_.find(entry.stream);
-    if (found == streams_.end()) return Verdict::known;  // of no stream here: nothing to keep it for
-    if (is_ahead(entry.stamp)) return Verdict::ahead;
+    if (found == streams_.end()) return RecordCheck::not_newer;  // of no stream here: nothing to keep it for
+    if (is_ahead(entry.timestamp)) return RecordCheck::too_far_ahead;
     Stream& stream = found->second;
     const Item* item = stream.items.find(entry.key);
     if (!item) {
       // Guards against a tombstone that goes round for ever between relays that drop it at different moments.
-      if (entry.tombstone && age(entry.stamp) >= stream.settings.tombstone_life) return Verdict::known;
-      if (entry.stamp <= stream.purged && !entry.tombstone)
+      if (entry.tombstone && age(entry.timestamp) >= stream.settings.tombstone_retention)
+        return RecordCheck::not_newer;
+      if (entry.timestamp <= stream.purged && !entry.tombstone)
         tell("a key that may have ended is back, as from an old folder, in stream " + stream.settings.type);
-      return Verdict::newer;
+      return RecordCheck::newer;
     }
-    if (entry.stamp != item->stamp) return entry.stamp > item->stamp ? Verdict::newer : Verdict::known;
-    auto content = std::pair(entry.content, entry.tombstone),
+    if (entry.timestamp != item->stamp)
+      return entry.timestamp > item->stamp ? RecordCheck::newer : RecordCheck::not_newer;
+    auto content = std::pair(entry.content_hash, entry.tombstone),
          here = std::pair(item->content, item->tombstone);
-    return content == here ? Verdict::known : content > here ? Verdict::replaces : Verdict::differs;
+    return content == here  ? RecordCheck::not_newer
+           : content > here ? RecordCheck::conflict_replace_local
+                            : RecordCheck::conflict_keep_local;
   }
 
-  void stored(const Entry& entry, const Place& place, bool own) override {
+  void on_record_stored(const RecordHeader& entry, const LogLocation& place, bool own) override {
     put(entry, place);
     if (own) pushes_.push_back({entry.stream, entry.key});
   }
 
-  void mark_kept(const Mark& mark, const Place& place) override {
-    Reader& reader = this->reader(mark.lane);
+  void on_delivery_state_stored(const DeliveryState& mark, const LogLocation& place) override {
+    Reader& reader = this->reader(mark.subscription);
     const Noted* noted = reader.marks.find(mark.key);
-    bool counts = noted && noted->stamp == mark.stamp && noted->had == mark.had && noted->bytes == 0;
+    bool counts =
+        noted && noted->stamp == mark.timestamp && noted->had == mark.delivered && noted->bytes == 0;
     compaction_.added(place, counts, 0);
     if (!counts) return;
     auto kept = *noted;
     kept.segment = place.segment, kept.bytes = static_cast<std::uint16_t>(place.bytes);
-    reader.marks.put(kept);
+    reader.marks.upsert(kept);
   }
 
-  void heard(fleet::MemberId from, const LatestMessage& message, bool kept_all) override {
+  void on_message(fleet::MemberId from, const LatestMessage& message, bool kept_all) override {
     auto peer = peers_.find(from);
     if (peer == peers_.end()) return;
     bool valid = kept_all;
-    for (const auto& mark : message.marks) {
-      if (!streams_.count(mark.lane.stream)) continue;
+    for (const auto& mark : message.delivery_states) {
+      if (!streams_.count(mark.subscription.stream)) continue;
       // A note of one whose duty is over must not count, though what it tells does; nor of a version older
       // than what this relay has noted, or one that was had: as every two majorities share a member, whoever
       // has the duty next cannot take a key back, also where it knows nothing of what went before.
-      if (mark.epoch > 0 && (!duties_.holds(mark.lane, from, mark.epoch) || is_past(mark))) {
+      if (mark.epoch > 0 && (!duties_.holds(mark.subscription, from, mark.epoch) || is_past(mark))) {
         valid = false;
-        if (auto here = position(mark.lane, mark.key)) to(from).marks.push_back(*here);
+        if (auto here = delivery_state(mark.subscription, mark.key))
+          to(from).delivery_states.push_back(*here);
       }
       take(mark, mark.epoch > 0);
     }
-    for (auto number : message.noted) noted(from, number);
-    for (const auto& sum : message.sums) compare(from, sum);
+    for (auto number : message.acknowledged) noted(from, number);
+    for (const auto& sum : message.digests) compare(from, sum);
     for (const auto& listing : message.listings) answer(from, listing);
-    for (const auto& want : message.wanted) give(from, want.stream, want.key);
-    for (const auto& ask : message.asks) vote(from, ask);
-    for (const auto& grant : message.grants) duties_.granted(from, grant);
-    if (message.number > 0 && valid) to(from).noted.push_back(message.number), notes_.insert(from);
+    for (const auto& want : message.requested) give(from, want.stream, want.key);
+    for (const auto& ask : message.lease_requests) vote(from, ask);
+    for (const auto& grant : message.lease_responses) duties_.granted(from, grant);
+    if (message.sequence > 0 && valid) to(from).acknowledged.push_back(message.sequence), notes_.insert(from);
   }
 
-  void ended(const Delivery& delivery, bool delivered) override {
-    Reader& reader = this->reader(delivery.lane);
+  void on_delivery_ended(const Delivery& delivery, bool delivered) override {
+    Reader& reader = this->reader(delivery.subscription);
     auto flight = reader.flights.find(delivery.key);
-    bool ours = flight != reader.flights.end() && flight->second.stamp == delivery.stamp;
+    bool ours = flight != reader.flights.end() && flight->second.stamp == delivery.timestamp;
     if (ours) reader.flights.erase(flight);
     if (delivered) {
-      Mark mark{delivery.lane, delivery.key, delivery.stamp, true, 0};
+      DeliveryState mark{delivery.subscription, delivery.key, delivery.timestamp, true, 0};
       if (take(mark, true)) told_.push_back(mark);
       reader.failures = 0, reader.rests_until = 0, reader.again.erase(delivery.key);
       reader.news.insert(delivery.key);  // a newer one may have come meanwhile
@@ -264,63 +272,65 @@
       if (now_ >= reader.rests_until) reader.rests_until = now_ + varied(ladder(++reader.failures));
     }
   }
-  void documents(int waiting) override { waiting_ = waiting, compaction_.documents(waiting); }
-  void rests(DestinationId destination, bool rests) override {
+  void set_waiting_documents(int waiting) override { waiting_ = waiting, compaction_.documents(waiting); }
+  void set_destination_impaired(DestinationId destination, bool rests) override {
     if (rests) rests_.insert(destination);
     else rests_.erase(destination);
   }
-  bool has_duty(const Lane& lane, Millis now) const override { return duties_.has(lane, now); }
-  void leave() override { duties_.leave(); }
+  bool has_delivery_lease(const Subscription& lane, Millis now) const override {
+    return duties_.has(lane, now);
+  }
+  void release_leases() override { duties_.leave(); }
 
-  bool keeps(const Entry& entry, const Place& place) const override {
+  bool is_live(const RecordHeader& entry, const LogLocation& place) const override {
     auto found = streams_.find(entry.stream);
     const Item* item = found == streams_.end() ? nullptr : found->second.items.find(entry.key);
     return item && item->place == place;
   }
-  bool keeps(const Mark& mark, SegmentId segment) const override {
-    auto found = readers_.find(mark.lane);
+  bool is_live(const DeliveryState& mark, SegmentId segment) const override {
+    auto found = readers_.find(mark.subscription);
     const Noted* noted = found == readers_.end() ? nullptr : found->second.marks.find(mark.key);
-    return noted && noted->segment == segment && noted->bytes > 0 && noted->stamp == mark.stamp &&
-           noted->had == mark.had;
+    return noted && noted->segment == segment && noted->bytes > 0 && noted->stamp == mark.timestamp &&
+           noted->had == mark.delivered;
   }
-  void compacted(SegmentId old, const std::vector<Moved>& moved,
-                 const std::vector<Dropped>& dropped) override {
+  void on_compacted(SegmentId old, const std::vector<Moved>& moved,
+                    const std::vector<DroppedRecord>& dropped) override {
     for (const auto& one : moved) {
-      bool counts = one.mark ? move_mark(one) : move_item(one);
-      compaction_.added(one.to, counts, one.mark ? 0 : one.stamp.wall);
+      bool counts = one.is_delivery_state ? move_mark(one) : move_item(one);
+      compaction_.added(one.to, counts, one.is_delivery_state ? 0 : one.timestamp.wall_time);
       compacted_bytes_ += one.to.bytes;
     }
     for (const auto& [id, key] : dropped) {
       Stream& stream = streams_[id];
       if (const Item* item = stream.items.find(key); item && item->frames > 1) {
         auto less = *item;
-        --less.frames, stream.items.put(less);
+        --less.frames, stream.items.upsert(less);
       } else if (!item) {
         stream.ghosts.erase(key);
       }
     }
     compaction_.removed(old), compaction_.ended(old, true);
   }
-  void not_compacted(SegmentId old, const std::vector<Moved>& copied) override {
+  void on_compaction_failed(SegmentId old, const std::vector<Moved>& copied) override {
     for (const auto& one : copied) {
-      compaction_.added(one.to, false, one.mark ? 0 : one.stamp.wall);
-      if (one.mark) continue;
-      auto& items = streams_[one.lane.stream].items;
+      compaction_.added(one.to, false, one.is_delivery_state ? 0 : one.timestamp.wall_time);
+      if (one.is_delivery_state) continue;
+      auto& items = streams_[one.subscription.stream].items;
       const Item* item = items.find(one.key);
       if (!item) continue;
       auto more = *item;
-      more.frames = static_cast<std::uint16_t>(std::min(UINT16_MAX, more.frames + 1)), items.put(more);
+      more.frames = static_cast<std::uint16_t>(std::min(UINT16_MAX, more.frames + 1)), items.upsert(more);
     }
     compaction_.ended(old, false);
   }
 
-  Decided decide() override {
+  Actions decide() override {
     for (auto& ask : duties_.decide(
-             named_, [this](const Lane& lane) { return reader(lane).flights.empty(); }, chance_)) {
-      to(ask.to).asks.push_back(std::move(ask.ask));
+             named_, [this](const Subscription& lane) { return reader(lane).flights.empty(); }, chance_)) {
+      to(ask.to).lease_requests.push_back(std::move(ask.ask));
     }
     due_ = std::min(duties_.due(), now_ + tidy_every);
-    for (const Lane& lane : named_) deliver(reader(lane));
+    for (const Subscription& lane : named_) deliver(reader(lane));
     if (now_ >= tidy_at_) tidy_at_ = now_ + tidy_every, tidy();
     for (auto& [id, peer] : peers_)
       if (peer.linked) begin_compare(id, peer);
@@ -335,33 +345,33 @@
     return std::exchange(done_, {});
   }
 
-  std::optional<Place> newest(StreamId stream, const KeyHash& key) const override {
+  std::optional<LogLocation> newest_location(StreamId stream, const KeyHash& key) const override {
     const Item* item = find(stream, key);
     return item ? std::optional(item->place) : std::nullopt;
   }
-  std::optional<Stamp> newest_stamp(StreamId stream, const KeyHash& key) const override {
+  std::optional<HybridTimestamp> newest_timestamp(StreamId stream, const KeyHash& key) const override {
     const Item* item = find(stream, key);
     return item ? std::optional(item->stamp) : std::nullopt;
   }
-  std::optional<KeyHash> key_of(StreamId stream, std::uint64_t high) const override {
+  std::optional<KeyHash> find_key(StreamId stream, std::uint64_t high) const override {
     auto found = streams_.find(stream);
-    const Item* item = found == streams_.end() ? nullptr : found->second.items.from({high, 0});
+    const Item* item = found == streams_.end() ? nullptr : found->second.items.lower_bound({high, 0});
     return item && item->key.high == high ? std::optional(item->key) : std::nullopt;
   }
-  std::optional<Mark> position(const Lane& lane, const KeyHash& key) const override {
+  std::optional<DeliveryState> delivery_state(const Subscription& lane, const KeyHash& key) const override {
     auto found = readers_.find(lane);
     const Noted* noted = found == readers_.end() ? nullptr : found->second.marks.find(key);
-    return noted ? std::optional(Mark{lane, key, noted->stamp, noted->had, 0}) : std::nullopt;
+    return noted ? std::optional(DeliveryState{lane, key, noted->stamp, noted->had, 0}) : std::nullopt;
   }
   std::uint64_t digest(StreamId stream) const override {
     auto found = streams_.find(stream);
     return found == streams_.end() ? 0 : found->second.items.sum(0, 0).sum;
   }
-  std::uint64_t digest(const Lane& lane) const override {
+  std::uint64_t digest(const Subscription& lane) const override {
     auto found = readers_.find(lane);
     return found == readers_.end() ? 0 : found->second.marks.sum(0, 0).sum;
   }
-  bool caught_up(const Lane& lane) const override {
+  bool is_caught_up(const Subscription& lane) const override {
     auto found = readers_.find(lane);
     if (found == readers_.end() || !duties_.has(lane, now_)) return false;
     const Reader& reader = found->second;
@@ -371,9 +381,9 @@
   Usage usage() const override {
     Usage usage;
     for (const auto& [id, stream] : streams_)
-      usage.keys += stream.items.size(), usage.memory_bytes += stream.items.memory();
+      usage.keys += stream.items.size(), usage.memory_bytes += stream.items.memory_bytes();
     for (const auto& [lane, reader] : readers_)
-      usage.marks += reader.marks.size(), usage.memory_bytes += reader.marks.memory();
+      usage.delivery_states += reader.marks.size(), usage.memory_bytes += reader.marks.memory_bytes();
     usage.live_bytes = compaction_.live(), usage.segment_bytes = compaction_.bytes();
     usage.segments = compaction_.count(), usage.compacted_bytes = compacted_bytes_;
     return usage;
@@ -385,8 +395,8 @@
   static Millis ladder(int failures) {
     return std::min(ladder_most, ladder_base * std::exp2(std::min(failures, 16) - 1));
   }
-  Millis age(const Stamp& stamp) const { return wall_ - static_cast<double>(stamp.wall); }
-  bool is_ahead(const Stamp& stamp) const { return -age(stamp) > settings_.version_ahead; }
+  Millis age(const HybridTimestamp& stamp) const { return wall_ - static_cast<double>(stamp.wall_time); }
+  bool is_ahead(const HybridTimestamp& stamp) const { return -age(stamp) > settings_.max_clock_offset; }
   // One line of a kind in a while.
   void tell(const std::string& line, const std::string& detail = {}) {
     auto [told, fresh] = told_at_.try_emplace(line, now_);
@@ -398,33 +408,33 @@
     auto found = streams_.find(stream);
     return found == streams_.end() ? nullptr : found->second.items.find(key);
   }
-  Reader& reader(const Lane& lane) {
+  Reader& reader(const Subscription& lane) {
     Reader& reader = readers_[lane];
     reader.lane = lane;
     return reader;
   }
   LatestMessage& to(fleet::MemberId peer) { return out_[peer]; }
 
-  static bool higher(const Mark& mark, const Noted& than) {
-    return mark.stamp > than.stamp || (mark.stamp == than.stamp && mark.had && !than.had);
+  static bool higher(const DeliveryState& mark, const Noted& than) {
+    return mark.timestamp > than.stamp || (mark.timestamp == than.stamp && mark.delivered && !than.had);
   }
 
-  bool is_past(const Mark& mark) const {
-    auto here = position(mark.lane, mark.key);
-    return here && std::pair(here->stamp, here->had) > std::pair(mark.stamp, false);
+  bool is_past(const DeliveryState& mark) const {
+    auto here = delivery_state(mark.subscription, mark.key);
+    return here && std::pair(here->timestamp, here->delivered) > std::pair(mark.timestamp, false);
   }
 
-  void put(const Entry& entry, const Place& place) {
+  void put(const RecordHeader& entry, const LogLocation& place) {
     auto found = streams_.find(entry.stream);
     if (found == streams_.end()) return;
     Stream& stream = found->second;
-    if (!is_ahead(entry.stamp)) last_ = std::max(last_, entry.stamp);
+    if (!is_ahead(entry.timestamp)) last_ = std::max(last_, entry.timestamp);
     const Item* before = stream.items.find(entry.key);
-    bool counts = !before || entry.stamp > before->stamp ||
-                  (entry.stamp == before->stamp && std::pair(entry.content, entry.tombstone) >=
-                                                       std::pair(before->content, before->tombstone));
-    compaction_.added(place, counts, entry.stamp.wall);
-    Item item{entry.key, entry.stamp, entry.content, place, 1, entry.tombstone, false};
+    bool counts = !before || entry.timestamp > before->stamp ||
+                  (entry.timestamp == before->stamp && std::pair(entry.content_hash, entry.tombstone) >=
+                                                           std::pair(before->content, before->tombstone));
+    compaction_.added(place, counts, entry.timestamp.wall_time);
+    Item item{entry.key, entry.timestamp, entry.content_hash, place, 1, entry.tombstone, false};
     if (before) {
       auto frames = static_cast<std::uint16_t>(std::min(UINT16_MAX, before->frames + 1));
       if (!counts) item = *before;
@@ -433,13 +443,14 @@
     } else {
       item.frames += stream.ghosts.erase(entry.key) > 0;
     }
-    stream.items.put(item);
+    stream.items.upsert(item);
     if (!counts) return;
     stream.tombstones.erase(entry.key);
     if (entry.tombstone) stream.tombstones[entry.key];
-    if (std::ranges::find(stream.settings.subscribers, entry.own) != stream.settings.subscribers.end() &&
-        static_cast<double>(entry.own_until) > wall_)
-      stream.own[{entry.key, entry.own}] = {entry.stamp, entry.own_until};
+    if (std::ranges::find(stream.settings.subscribers, entry.direct_destination) !=
+            stream.settings.subscribers.end() &&
+        static_cast<double>(entry.direct_until) > wall_)
+      stream.own[{entry.key, entry.direct_destination}] = {entry.timestamp, entry.direct_until};
     for (auto subscriber : stream.settings.subscribers) {
       Reader& reader = this->reader({entry.stream, subscriber});
       reader.news.insert(entry.key), reader.again.erase(entry.key);
@@ -447,20 +458,20 @@
   }
 
   // A mark is higher than the one here: it is kept by the host, and counts.
-  bool take(const Mark& mark, bool fresh) {
-    if (is_ahead(mark.stamp)) return false;
-    Reader& reader = this->reader(mark.lane);
+  bool take(const DeliveryState& mark, bool fresh) {
+    if (is_ahead(mark.timestamp)) return false;
+    Reader& reader = this->reader(mark.subscription);
     const Noted* before = reader.marks.find(mark.key);
     if (before && !higher(mark, *before)) return false;
     // Guards against marks of purged keys that go round for ever, as tombstones would.
-    if (!before && !fresh && !find(mark.lane.stream, mark.key) &&
-        age(mark.stamp) >= streams_[mark.lane.stream].settings.tombstone_life)
+    if (!before && !fresh && !find(mark.subscription.stream, mark.key) &&
+        age(mark.timestamp) >= streams_[mark.subscription.stream].settings.tombstone_retention)
       return false;
     if (before) compaction_.dead(before->segment, before->bytes);
-    reader.marks.put({mark.key, mark.stamp, {}, 0, mark.had});
-    done_.marks.push_back(mark);
+    reader.marks.upsert({mark.key, mark.timestamp, {}, 0, mark.delivered});
+    done_.delivery_states.push_back(mark);
     // What went there by itself ended: the next one need not wait.
-    if (reader.had_duty && mark.had && reader.again.erase(mark.key) > 0) reader.news.insert(mark.key);
+    if (reader.had_duty && mark.delivered && reader.again.erase(mark.key) > 0) reader.news.insert(mark.key);
     return true;
   }
 
@@ -470,7 +481,7 @@
     Batch& batch = found->second;
     batch.noted.insert(from);
     if (!batch.pushed.empty())
-      for (const auto& one : std::exchange(batch.pushed, {})) done_.copied.push_back(one);
+      for (const auto& one : std::exchange(batch.pushed, {})) done_.replicated.push_back(one);
     if (static_cast<int>(batch.noted.size()) + 1 >= duties_.majority())
       for (const auto& going : std::exchange(batch.goings, {})) go(going);
     if (batch.goings.empty()) batches_.erase(found);
@@ -478,20 +489,20 @@
 
   // A majority knows that this version is about to go: whoever has the duty next learns it from them.
   void go(const Delivery& going) {
-    Reader& reader = this->reader(going.lane);
+    Reader& reader = this->reader(going.subscription);
     auto flight = reader.flights.find(going.key);
-    if (flight == reader.flights.end() || flight->second.stamp != going.stamp ||
+    if (flight == reader.flights.end() || flight->second.stamp != going.timestamp ||
         flight->second.stage != Stage::noting)
       return;
     const Noted* noted = reader.marks.find(going.key);
-    const Item* item = find(going.lane.stream, going.key);
-    if (!duties_.has(going.lane, now_) || !noted || noted->stamp != going.stamp || noted->had || !item ||
-        item->stamp != going.stamp) {
+    const Item* item = find(going.subscription.stream, going.key);
+    if (!duties_.has(going.subscription, now_) || !noted || noted->stamp != going.timestamp || noted->had ||
+        !item || item->stamp != going.timestamp) {
       reader.flights.erase(flight), reader.news.insert(going.key);
       return;
     }
     // Guards against a full disk: this relay is one of the majority, so it must have kept the note itself.
-    if (noted->bytes == 0) return ended(going, false);
+    if (noted->bytes == 0) return on_delivery_ended(going, false);
     flight->second.stage = Stage::out;
     done_.deliver.push_back(going);
   }
@@ -518,7 +529,9 @@
     }
     return item;
   }
-  bool has_duty(Reader& reader) { return duties_.has(reader.lane, now_) && !duties_.yields(reader.lane); }
+  bool has_delivery_lease(Reader& reader) {
+    return duties_.has(reader.lane, now_) && !duties_.yields(reader.lane);
+  }
   int room(const Reader& reader, bool backlog) const {
     bool rests = rests_.count(reader.lane.subscriber) > 0;
     int most = backlog ? (waiting_ > 0 ? backlog_beside : backlog_most) : news_most;
@@ -531,9 +544,9 @@
   }
   void begin_flight(Reader& reader, const Item& item, bool backlog) {
     Delivery going{reader.lane, item.key, item.stamp};
-    Mark mark{reader.lane, item.key, item.stamp, false, 0};
+    DeliveryState mark{reader.lane, item.key, item.stamp, false, 0};
     // Noted here already, but not kept, as on a full disk: once more.
-    if (!take(mark, true) && reader.marks.find(item.key)->bytes == 0) done_.marks.push_back(mark);
+    if (!take(mark, true) && reader.marks.find(item.key)->bytes == 0) done_.delivery_states.push_back(mark);
     reader.flights[item.key] = {item.stamp, Stage::noting, backlog, now_};
     goings_.push_back(going);
   }
@@ -553,7 +566,7 @@
          ", a pass over " + std::to_string(streams_[reader.lane.stream].items.size()) + " keys");
   }
   bool has_stale_note(Reader& reader) {
-    if (!has_duty(reader)) return false;
+    if (!has_delivery_lease(reader)) return false;
     return std::ranges::any_of(reader.flights, [&](const auto& at) {
       return at.second.stage == Stage::noting && now_ >= at.second.since + note_again;
     });
@@ -576,7 +589,7 @@
     }
   }
   bool has_news(Reader& reader) {
-    return !reader.news.empty() && has_duty(reader) && room(reader, false) > 0;
+    return !reader.news.empty() && has_delivery_lease(reader) && room(reader, false) > 0;
   }
   void send_news(Reader& reader) {
     auto key = *reader.news.begin();
@@ -590,7 +603,7 @@
     });
   }
   bool has_again(Reader& reader) {
-    return has_duty(reader) && room(reader, false) > 0 && due_again(reader) != reader.again.end();
+    return has_delivery_lease(reader) && room(reader, false) > 0 && due_again(reader) != reader.again.end();
   }
   void send_again(Reader& reader) {
     auto found = due_again(reader);
@@ -601,12 +614,12 @@
     if (found != reader.again.end() && now_ >= found->second.not_before) reader.again.erase(found);
   }
   bool has_backlog(Reader& reader) {
-    return reader.pass && scanned_ < scan_most && has_duty(reader) && room(reader, true) > 0;
+    return reader.pass && scanned_ < scan_most && has_delivery_lease(reader) && room(reader, true) > 0;
   }
   void send_backlog(Reader& reader) {
     const auto& items = streams_[reader.lane.stream].items;
     while (scanned_++ < scan_most) {
-      const Item* item = items.from(*reader.pass);
+      const Item* item = items.lower_bound(*reader.pass);
       if (!item) {
         reader.pass.reset();
         return tell("the pass for subscriber " + name(reader.lane) + " is over");
@@ -644,7 +657,7 @@
     for (const auto& [key, flight] : reader.flights)
       if (flight.stage == Stage::noting) due_ = std::min(due_, flight.since + note_again);
   }
-  std::string name(const Lane& lane) {
+  std::string name(const Subscription& lane) {
     return std::to_string(static_cast<std::uint64_t>(lane.subscriber)) + " of stream " +
            streams_[lane.stream].settings.type;
   }
@@ -677,16 +690,17 @@
       for (auto& [id, peer] : peers_) {
         if (!peer.linked) continue;
         Outgoing one{id, {}, records, false};
-        one.message.number = number;
+        one.message.sequence = number;
         for (const auto& going : batch.goings)
-          one.message.marks.push_back({going.lane, going.key, going.stamp, false, duties_.epoch(going.lane)});
+          one.message.delivery_states.push_back(
+              {going.subscription, going.key, going.timestamp, false, duties_.epoch(going.subscription)});
         done_.sends.push_back(std::move(one));
       }
     }
     if (told_.empty()) return;
     for (auto& [id, peer] : peers_) {
       if (!peer.linked) continue;
-      auto& marks = to(id).marks;
+      auto& marks = to(id).delivery_states;
       marks.insert(marks.end(), told_.begin(), told_.end());
     }
     told_.clear();
@@ -694,14 +708,14 @@
 
   // --- Made alike: digests of ranges, then lists of small ones, then what differs.
 
-  RangeSum sum_of(const Lane& lane, bool marks, std::uint64_t prefix, int bits) {
-    RangeSum range{lane, marks, prefix, static_cast<std::uint8_t>(bits), 0, 0};
+  RangeDigest sum_of(const Subscription& lane, bool marks, std::uint64_t prefix, int bits) {
+    RangeDigest range{lane, marks, prefix, static_cast<std::uint8_t>(bits), 0, 0};
     if (marks) {
       auto sum = reader(lane).marks.sum(prefix, bits);
-      range.sum = sum.sum, range.keys = sum.keys;
+      range.sum = sum.sum, range.key_count = sum.key_count;
     } else {
       auto sum = streams_[lane.stream].items.sum(prefix, bits);
-      range.sum = sum.sum, range.keys = sum.keys;
+      range.sum = sum.sum, range.key_count = sum.key_count;
     }
     return range;
   }
@@ -710,83 +724,87 @@
     if (now_ >= peer.compare_at) {
       peer.compare_at = now_ + varied(peer.differs ? compare_on * (self_ < id ? 1 : 3) : compare_every);
       peer.differs = false;
-      for (auto& [stream, held] : streams_) to(id).sums.push_back(sum_of({stream, {}}, false, 0, 0));
-      for (auto& [lane, reader] : readers_) to(id).sums.push_back(sum_of(lane, true, 0, 0));
+      for (auto& [stream, held] : streams_) to(id).digests.push_back(sum_of({stream, {}}, false, 0, 0));
+      for (auto& [lane, reader] : readers_) to(id).digests.push_back(sum_of(lane, true, 0, 0));
     }
     due_ = std::min(due_, peer.compare_at);
   }
 
-  void compare(fleet::MemberId from, const RangeSum& theirs) {
-    if (!streams_.count(theirs.lane.stream) || theirs.bits > 64) return;
-    std::uint64_t mask = theirs.bits == 0 ? 0 : ~std::uint64_t{0} << (64 - theirs.bits);
+  void compare(fleet::MemberId from, const RangeDigest& theirs) {
+    if (!streams_.count(theirs.subscription.stream) || theirs.prefix_bits > 64) return;
+    std::uint64_t mask = theirs.prefix_bits == 0 ? 0 : ~std::uint64_t{0} << (64 - theirs.prefix_bits);
     if (theirs.prefix & ~mask) return;
-    auto here = sum_of(theirs.lane, theirs.marks, theirs.prefix, theirs.bits);
-    if (here.sum == theirs.sum && here.keys == theirs.keys) return alike(from, theirs);
+    auto here = sum_of(theirs.subscription, theirs.of_delivery_states, theirs.prefix, theirs.prefix_bits);
+    if (here.sum == theirs.sum && here.key_count == theirs.key_count) return alike(from, theirs);
     peers_[from].differs = true;
-    if (to(from).sums.size() > sums_most || to(from).listings.size() > lists_most) return;
-    if (std::max(here.keys, theirs.keys) > list_most && theirs.bits + bits_step <= bits_most) {
+    if (to(from).digests.size() > sums_most || to(from).listings.size() > lists_most) return;
+    if (std::max(here.key_count, theirs.key_count) > list_most &&
+        theirs.prefix_bits + bits_step <= bits_most) {
       for (int child = 0; child < 1 << bits_step; ++child) {
-        int bits = theirs.bits + bits_step;
+        int bits = theirs.prefix_bits + bits_step;
         auto prefix = theirs.prefix | static_cast<std::uint64_t>(child) << (64 - bits);
-        to(from).sums.push_back(sum_of(theirs.lane, theirs.marks, prefix, bits));
+        to(from).digests.push_back(sum_of(theirs.subscription, theirs.of_delivery_states, prefix, bits));
       }
       return;
     }
-    if (theirs.marks) {
+    if (theirs.of_delivery_states) {
       // Small, so they go themselves; the listing tells which, for the other to answer with its own.
-      Listing listing{here, {}};
-      reader(theirs.lane).marks.each(theirs.prefix, theirs.bits, [&](const Noted& noted) {
-        listing.lines.push_back({noted.key, noted.stamp, noted.had});
-        to(from).marks.push_back({theirs.lane, noted.key, noted.stamp, noted.had, 0});
+      RangeListing listing{here, {}};
+      reader(theirs.subscription).marks.for_each(theirs.prefix, theirs.prefix_bits, [&](const Noted& noted) {
+        listing.entries.push_back({noted.key, noted.stamp, noted.had});
+        to(from).delivery_states.push_back({theirs.subscription, noted.key, noted.stamp, noted.had, 0});
       });
       return to(from).listings.push_back(std::move(listing));
     }
-    Listing listing{here, {}};
-    streams_[theirs.lane.stream].items.each(theirs.prefix, theirs.bits, [&](const Item& item) {
-      listing.lines.push_back({item.key, item.stamp, item.content});
-    });
+    RangeListing listing{here, {}};
+    streams_[theirs.subscription.stream].items.for_each(
+        theirs.prefix, theirs.prefix_bits, [&](const Item& item) {
+          listing.entries.push_back({item.key, item.stamp, item.content});
+        });
     to(from).listings.push_back(std::move(listing));
   }
 
-  void alike(fleet::MemberId from, const RangeSum& range) {
-    if (range.marks || range.bits > cell_bits) return;
-    auto& at = streams_[range.lane.stream].alike_at.try_emplace(from).first->second;
+  void alike(fleet::MemberId from, const RangeDigest& range) {
+    if (range.of_delivery_states || range.prefix_bits > cell_bits) return;
+    auto& at = streams_[range.subscription.stream].alike_at.try_emplace(from).first->second;
     if (at[0] == 0) at.fill(-never);
-    auto first = range.bits ? range.prefix >> (64 - cell_bits) : 0;
-    auto count = std::uint64_t{1} << (cell_bits - range.bits);
+    auto first = range.prefix_bits ? range.prefix >> (64 - cell_bits) : 0;
+    auto count = std::uint64_t{1} << (cell_bits - range.prefix_bits);
     std::fill_n(at.begin() + static_cast<std::ptrdiff_t>(first), count, now_);
   }
 
-  void answer(fleet::MemberId from, const Listing& listing) {
+  void answer(fleet::MemberId from, const RangeListing& listing) {
     const auto& range = listing.range;
-    if (!streams_.count(range.lane.stream) || range.bits > 64) return;
-    std::map<KeyHash, const Line*> theirs;
-    for (const auto& line : listing.lines) theirs[line.key] = &line;
-    if (range.marks) {
-      reader(range.lane).marks.each(range.prefix, range.bits, [&](const Noted& noted) {
+    if (!streams_.count(range.subscription.stream) || range.prefix_bits > 64) return;
+    std::map<KeyHash, const KeySummary*> theirs;
+    for (const auto& line : listing.entries) theirs[line.key] = &line;
+    if (range.of_delivery_states) {
+      reader(range.subscription).marks.for_each(range.prefix, range.prefix_bits, [&](const Noted& noted) {
         auto found = theirs.find(noted.key);
-        bool known = found != theirs.end() && std::pair(found->second->stamp, found->second->content > 0) >=
-                                                  std::pair(noted.stamp, noted.had);
-        if (!known) to(from).marks.push_back({range.lane, noted.key, noted.stamp, noted.had, 0});
+        bool known =
+            found != theirs.end() && std::pair(found->second->timestamp, found->second->content_hash > 0) >=
+                                         std::pair(noted.stamp, noted.had);
+        if (!known)
+          to(from).delivery_states.push_back({range.subscription, noted.key, noted.stamp, noted.had, 0});
       });
       return;
     }
-    const auto& items = streams_[range.lane.stream].items;
-    items.each(range.prefix, range.bits, [&](const Item& item) {
+    const auto& items = streams_[range.subscription.stream].items;
+    items.for_each(range.prefix, range.prefix_bits, [&](const Item& item) {
       auto found = theirs.find(item.key);
       if (found == theirs.end()) {
-        if (!item.expired) give(from, range.lane.stream, item.key);
+        if (!item.expired) give(from, range.subscription.stream, item.key);
         return;
       }
-      const Line& line = *found->second;
-      if (item.stamp > line.stamp || (item.stamp == line.stamp && item.content != line.content))
-        give(from, range.lane.stream, item.key);
+      const KeySummary& line = *found->second;
+      if (item.stamp > line.timestamp || (item.stamp == line.timestamp && item.content != line.content_hash))
+        give(from, range.subscription.stream, item.key);
     });
     for (const auto& [key, line] : theirs) {
       const Item* item = items.find(key);
-      if (!item || line->stamp > item->stamp ||
-          (line->stamp == item->stamp && line->content != item->content))
-        to(from).wanted.push_back({range.lane.stream, key});
+      if (!item || line->timestamp > item->stamp ||
+          (line->timestamp == item->stamp && line->content_hash != item->content))
+        to(from).requested.push_back({range.subscription.stream, key});
     }
   }
 
@@ -803,11 +821,11 @@
       list.push_back({stream, key}), to(peer);
   }
 
-  void vote(fleet::MemberId from, const Ask& ask) {
-    if (!streams_.count(ask.lane.stream)) return;
+  void vote(fleet::MemberId from, const LeaseRequest& ask) {
+    if (!streams_.count(ask.subscription.stream)) return;
     auto grant = duties_.vote(from, ask);
     if (ask.release) return;
-    to(from).grants.push_back(grant);
+    to(from).lease_responses.push_back(grant);
   }
 
   // --- Tombstones: kept for their life, until all subscribers are past them and all members are known to
@@ -819,9 +837,9 @@
       for (auto& [key, tombstone] : stream.tombstones) {
         const Item* item = stream.items.find(key);
         if (!item) continue;
-        if (!item->expired && age(item->stamp) >= stream.settings.tombstone_life) {
+        if (!item->expired && age(item->stamp) >= stream.settings.tombstone_retention) {
           auto expired = *item;
-          expired.expired = true, tombstone.expired_at = now_, stream.items.put(expired);
+          expired.expired = true, tombstone.expired_at = now_, stream.items.upsert(expired);
         } else if (item->expired && may_purge(id, stream, key, *item, tombstone)) {
           over.push_back(key);
         }
@@ -863,19 +881,19 @@
   }
 
   bool move_mark(const Moved& one) {
-    auto found = readers_.find(one.lane);
+    auto found = readers_.find(one.subscription);
     const Noted* noted = found == readers_.end() ? nullptr : found->second.marks.find(one.key);
-    if (!noted || noted->segment != one.from.segment || noted->stamp != one.stamp) return false;
+    if (!noted || noted->segment != one.from.segment || noted->stamp != one.timestamp) return false;
     auto moved = *noted;
-    moved.segment = one.to.segment, found->second.marks.put(moved);
+    moved.segment = one.to.segment, found->second.marks.upsert(moved);
     return true;
   }
   bool move_item(const Moved& one) {
-    auto found = streams_.find(one.lane.stream);
+    auto found = streams_.find(one.subscription.stream);
     const Item* item = found == streams_.end() ? nullptr : found->second.items.find(one.key);
     if (!item || item->place != one.from) return false;
     auto moved = *item;
-    moved.place = one.to, found->second.items.put(moved);
+    moved.place = one.to, found->second.items.upsert(moved);
     return true;
   }
 
@@ -885,16 +903,16 @@
   Compaction compaction_;
   std::minstd_rand chance_;
   Millis now_ = 0, wall_ = 0, due_ = 0, tidy_at_ = 0;
-  Stamp last_;
+  HybridTimestamp last_;
   std::map<StreamId, Stream> streams_;
-  std::map<Lane, Reader> readers_;
-  std::set<Lane> named_;
+  std::map<Subscription, Reader> readers_;
+  std::set<Subscription> named_;
   std::map<fleet::MemberId, Peer> peers_;
   std::map<std::uint64_t, Batch> batches_;
   std::uint64_t batch_ = 0, compacted_bytes_ = 0;
   std::deque<std::pair<StreamId, KeyHash>> pushes_;
   std::vector<Delivery> goings_, kept_next_;
-  std::vector<Mark> told_;
+  std::vector<DeliveryState> told_;
   std::map<fleet::MemberId, LatestMessage> out_;
   std::map<fleet::MemberId, std::vector<std::pair<StreamId, KeyHash>>> gives_;
   std::map<fleet::MemberId, std::pair<Millis, std::size_t>> given_;  // bytes of this turn
@@ -902,13 +920,13 @@
   std::set<DestinationId> rests_;
   std::map<std::string, Millis> told_at_;
   int waiting_ = 0, scanned_ = 0;
-  Decided done_;
+  Actions done_;
 };
 
 }  // namespace
 
-std::unique_ptr<Latest> Latest::make(const fleet::Roster& roster, fleet::MemberId self,
-                                     const LatestSettings& settings, std::uint64_t seed) {
+std::unique_ptr<CompactedLog> CompactedLog::make(const fleet::Roster& roster, fleet::MemberId self,
+                                                 const LatestSettings& settings, std::uint64_t seed) {
   return std::make_unique<Keeper>(roster, self, settings, seed);
 }
 
--- a/src/model/latest.cpp
+++ b/src/model/latest.cpp
@@ -9,7 +9,7 @@
 
 #include "model/fellow.h"
 #include "model/part.h"
-#include "peer/latest_log.h"
+#include "peer/persistent_log.h"
 #include "peer/segments.h"
 
 namespace rockcrank::model {
@@ -17,8 +17,8 @@
 namespace {
 
 using fleet::MemberId;
-using latest::Latest;
-using latest::Stamp;
+using latest::CompactedLog;
+using latest::HybridTimestamp;
 
 constexpr Millis settled_within = 45000;
 constexpr Millis send_most = 150, under_way_most = 80;
@@ -27,7 +27,7 @@
 
 using FilesHeld = std::map<std::string, std::string>;
 
-class InMemory final : public peer::Files {
+class InMemory final : public peer::FileSystem {
  public:
   explicit InMemory(std::shared_ptr<FilesHeld> held) : held_(std::move(held)) {}
   std::vector<std::string> list() override {
@@ -48,7 +48,7 @@
     (*held_)[name].append(bytes);
     return bytes.size();
   }
-  bool cut(const std::string& name, std::size_t size) override {
+  bool truncate(const std::string& name, std::size_t size) override {
     (*held_)[name].resize(size);
     return true;
   }
@@ -70,23 +70,23 @@
 class Logger : public Upper {
  public:
   std::shared_ptr<FilesHeld> files;
-  std::unique_ptr<peer::LatestLog> log;
-  std::function<std::unique_ptr<peer::LatestLog>(Millis)> open;
+  std::unique_ptr<peer::PersistentLog> log;
+  std::function<std::unique_ptr<peer::PersistentLog>(Millis)> open;
   std::function<Millis()> wall;
   std::function<void(std::uint64_t)> on_work;
-  std::function<void(peer::LatestLog::Decided&)> on_decided;
-  std::vector<Latest::Delivery> to_send;
+  std::function<void(peer::PersistentLog::Actions&)> on_decided;
+  std::vector<CompactedLog::Delivery> to_send;
   Millis now = 0;
 
   void begin(Millis at) override {
     now = at;
     if (!log) log = open(at);
-    log->begin(at, wall());
+    log->begin_turn(at, wall());
   }
-  void alive(const std::vector<MemberId>& members) override { log->module().alive(members); }
-  void linked(MemberId peer, fleet::Incarnation, bool up) override { log->module().linked(peer, up); }
+  void alive(const std::vector<MemberId>& members) override { log->module().set_alive(members); }
+  void linked(MemberId peer, fleet::Incarnation, bool up) override { log->module().on_link_change(peer, up); }
   void heard(MemberId from, const Payload& message) override {
-    if (const auto* records = std::get_if<latest::LatestMessage>(&message)) log->heard(from, *records);
+    if (const auto* records = std::get_if<latest::LatestMessage>(&message)) log->on_message(from, *records);
   }
   void work(std::uint64_t what) override { on_work(what); }
   Millis decide(Outbox& outbox) override {
@@ -114,10 +114,10 @@
     }
     // Mostly as a file would have it that knows how far its clocks may be apart; else versions are refused.
     trusting_ = chance.odds(0.85);
-    settings_.version_ahead = trusting_ ? std::max(60000.0, 1.2 * apart + 1000) : 60000;
-    ahead_ = apart > settings_.version_ahead;
+    settings_.max_clock_offset = trusting_ ? std::max(60000.0, 1.2 * apart + 1000) : 60000;
+    ahead_ = apart > settings_.max_clock_offset;
     settings_.streams = {{stream, "status", {DestinationId{5}, DestinationId{6}}, 1e9, 0, 0.5}};
-    settings_.segment_bytes = segment_bytes, settings_.disk_bytes = disk_bytes;
+    settings_.segment_bytes = segment_bytes, settings_.max_disk_bytes = disk_bytes;
     joins_ = chance.odds(0.5) ? 0 : chance.between(shape.warm_up, shape.healed);
     int keys = 1 + chance.below(60), count = 50 + chance.below(400);
     for (int i = 0; i < count; ++i) {
@@ -137,9 +137,9 @@
     if (const auto* files = std::any_cast<FilesHeld>(&folder)) *raw->files = *files;
     raw->wall = [&world, place] { return std::floor(world.wall(place)); };
     raw->open = [this, &world, place, raw, self, boots = machine.boots](Millis now) {
-      return std::make_unique<peer::LatestLog>(std::make_unique<InMemory>(raw->files), "log", world.roster(),
-                                               self, settings_, cache_bytes,
-                                               mixed(world.seed(), 0x62, place, boots), now, raw->wall());
+      return std::make_unique<peer::PersistentLog>(std::make_unique<InMemory>(raw->files), "log",
+                                                   world.roster(), self, settings_, cache_bytes,
+                                                   mixed(world.seed(), 0x62, place, boots), now, raw->wall());
     };
     raw->on_work = [this, &world, place](std::uint64_t what) { work(world, place, acts_[what]); };
     raw->on_decided = [this, &world, place](auto& decided) { carry_out(world, place, decided); };
@@ -163,7 +163,7 @@
       int holder = -1;
       for (int i = 0; i < world.machines(); ++i) {
         if (!world.running(i) || !loggers_[i] || !loggers_[i]->log) continue;
-        bool has = loggers_[i]->log->module().has_duty({stream, subscriber}, world.local(i)) ||
+        bool has = loggers_[i]->log->module().has_delivery_lease({stream, subscriber}, world.local(i)) ||
                    (order_.plant == "duty-always" && world.now() > 9000);
         if (has && holder >= 0)
           world.broken("two-duties", "members %d and %d both have the duty for subscriber %llu", holder, i,
@@ -175,7 +175,7 @@
     for (auto it = fresh_.begin(); it != fresh_.end();) {
       bool all = true;
       for (int i = 0; i < world.machines() && all; ++i) {
-        auto held = loggers_[i]->log->module().newest_stamp(stream, it->key);
+        auto held = loggers_[i]->log->module().newest_timestamp(stream, it->key);
         all = held && *held >= it->stamp;
       }
       if (all) samples_["ms until a record is held by all, to 100"].push_back(world.now() - it->at);
@@ -195,7 +195,7 @@
       if (digest(i) != digest(first))
         world.broken("converge", "members %d and %d hold different logs", first, i);
       for (const auto& [key, stamp] : newest_) {
-        auto held = loggers_[i]->log->module().newest_stamp(stream, key);
+        auto held = loggers_[i]->log->module().newest_timestamp(stream, key);
         if (kept_ && (!held || *held < stamp))
           world.broken("lost", "member %d lacks the newest of key %d, or has an older one", i, keys_[key]);
       }
@@ -203,7 +203,7 @@
     for (auto subscriber : settings_.streams[0].subscribers)
       for (const auto& [key, number] : keys_) {
         if (first < 0 || ahead_) break;
-        auto held = loggers_[first]->log->module().newest_stamp(stream, key);
+        auto held = loggers_[first]->log->module().newest_timestamp(stream, key);
         auto had = had_[subscriber].find(key);
         if (held && (had == had_[subscriber].end() || had->second < *held))
           world.broken("complete", "subscriber %llu lacks the newest of key %d",
@@ -227,11 +227,11 @@
     enum Kind { take, send, received, answered } kind{};
     int place = 0, boots = 0, key = 0;
     bool tombstone = false, told = false;
-    Latest::Delivery delivery;
+    CompactedLog::Delivery delivery;
   };
   struct Fresh {
     latest::KeyHash key;
-    Stamp stamp;
+    HybridTimestamp stamp;
     Millis at = 0;
   };
 
@@ -247,7 +247,7 @@
   void work(World& world, int place, const Act& act) {
     if (act.kind == Act::take) take(world, place, act);
     else if (act.kind == Act::send) send(world, place, act);
-    else loggers_[place]->log->module().ended(act.delivery, act.told);
+    else loggers_[place]->log->module().on_delivery_ended(act.delivery, act.told);
   }
 
   void take(World& world, int place, const Act& act) {
@@ -258,11 +258,11 @@
     if (!act.tombstone)
       record.body = "body of " + record.id + std::string(static_cast<std::size_t>(taken_ % 200), 'x');
     try {
-      auto stamp = log.take(record);
+      auto stamp = log.append_local(record);
       auto key = peer::key_hash(record.key);
       keys_[key] = act.key;
       world.note("member %d takes %s of key %d, version %llu.%u", place, record.id.c_str(), act.key,
-                 static_cast<unsigned long long>(stamp.wall), stamp.count);
+                 static_cast<unsigned long long>(stamp.wall_time), stamp.counter);
       auto& newest = newest_[key];
       newest = std::max(newest, stamp);
       if (quiet_ && order_.samples) fresh_.push_back({key, stamp, world.now()});
@@ -273,7 +273,7 @@
     }
   }
 
-  void carry_out(World& world, int place, peer::LatestLog::Decided& decided) {
+  void carry_out(World& world, int place, peer::PersistentLog::Actions& decided) {
     auto& logger = *loggers_[place];
     for (const auto& line : decided.log) world.note("member %d says: %s", place, line.c_str());
     for (const auto& gone : decided.withdraw)
@@ -294,10 +294,11 @@
     if (found == logger.to_send.end()) return;
     logger.to_send.erase(found);
     auto& module = logger.log->module();
-    bool goes = module.has_duty(act.delivery.lane, logger.now) || order_.plant == "sends-without-duty";
-    goes = goes && !away(world, act.delivery.lane.subscriber);
-    if (order_.plant == "told-delivered" && !goes) return module.ended(act.delivery, true);
-    if (!goes) return module.ended(act.delivery, false);
+    bool goes = module.has_delivery_lease(act.delivery.subscription, logger.now) ||
+                order_.plant == "sends-without-duty";
+    goes = goes && !away(world, act.delivery.subscription.subscriber);
+    if (order_.plant == "told-delivered" && !goes) return module.on_delivery_ended(act.delivery, true);
+    if (!goes) return module.on_delivery_ended(act.delivery, false);
     auto arrival = world.now() + world.chance().between(0, under_way_most);
     Act next = act;
     next.kind = Act::received;
@@ -309,27 +310,27 @@
   }
 
   void received(World& world, const Act& act) {
-    auto subscriber = act.delivery.lane.subscriber;
+    auto subscriber = act.delivery.subscription.subscriber;
     auto& had = had_[subscriber];
-    auto [at, fresh] = had.try_emplace(act.delivery.key, act.delivery.stamp);
+    auto [at, fresh] = had.try_emplace(act.delivery.key, act.delivery.timestamp);
     ++received_;
     if (subscriber == DestinationId{6} && joins_ > 0) { ++to_joiner_, joiner_keys_.insert(act.delivery.key); }
     if (fresh) return;
-    repeats_ += at->second == act.delivery.stamp;
-    if (act.delivery.stamp < at->second)
+    repeats_ += at->second == act.delivery.timestamp;
+    if (act.delivery.timestamp < at->second)
       world.broken("taken-back",
                    "subscriber %llu gets of key %d a version older than it has had, from member %d",
                    static_cast<unsigned long long>(subscriber), keys_[act.delivery.key], act.place);
-    at->second = act.delivery.stamp;
+    at->second = act.delivery.timestamp;
   }
 
   Order order_;
   latest::LatestSettings settings_;
   std::vector<Logger*> loggers_;
   std::vector<Act> acts_;
-  std::map<latest::KeyHash, Stamp> newest_;
+  std::map<latest::KeyHash, HybridTimestamp> newest_;
   std::map<latest::KeyHash, int> keys_;
-  std::map<DestinationId, std::map<latest::KeyHash, Stamp>> had_;
+  std::map<DestinationId, std::map<latest::KeyHash, HybridTimestamp>> had_;
   std::vector<Fresh> fresh_;
   std::set<latest::KeyHash> joiner_keys_;
   Samples samples_;
--- a/src/model/registers.cpp
+++ b/src/model/registers.cpp
@@ -93,8 +93,8 @@
   }
   Millis decide(Outbox& outbox) override {
     auto decided = registers_->decide();
-    if (plant_ == "news-lost" && place_ == 0) decided.route_reports.clear();
-    for (auto& known : decided.route_reports) {
+    if (plant_ == "news-lost" && place_ == 0) decided.route_statuses.clear();
+    for (auto& known : decided.route_statuses) {
       if (plant_ == "wait-longer" && known.retry_after_left > 0) known.retry_after_left += 3000;
       if (plant_ == "wait-shorter" && known.retry_after_left > 0) known.retry_after_left /= 2;
       auto& route = routes[static_cast<int>(known.route)];
@@ -454,7 +454,7 @@
       world.note("member %d names as differing: %s", place, line.c_str());
       if (quiet_) world.broken("differing", "member %d: %s", place, line.c_str());
     }
-    for (const auto& known : decided.route_reports) {
+    for (const auto& known : decided.route_statuses) {
       int subject = static_cast<int>(known.route);
       if (sharer.routes[subject].learned_end <= 0) continue;
       auto end =
--- a/src/model/warm.cpp
+++ b/src/model/warm.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 using fleet::MemberId;
-using warm::Sort;
+using warm::ItemKind;
 using warm::Warmer;
 
 constexpr Millis within = 10000, idle_life = 8000, measured = 30000;
@@ -39,41 +39,41 @@
   int favourite = 0;
   Millis now = 0;
   std::function<void(std::uint64_t)> on_work;
-  std::function<void(Warmer::Decided&, int waiting, int free)> on_decided;
-  std::function<void(const warm::WarmMessage&)> on_heard;
+  std::function<void(Warmer::Actions&, int waiting, int free)> on_decided;
+  std::function<void(const warm::WarmupMessage&)> on_heard;
 
   void begin(Millis at) override {
     now = at;
-    if (warmer) warmer->begin(at);
+    if (warmer) warmer->begin_turn(at);
   }
   void alive(const std::vector<MemberId>& members) override {
-    if (warmer) warmer->alive(members);
+    if (warmer) warmer->set_alive(members);
   }
   void linked(MemberId peer, fleet::Incarnation, bool up) override {
-    if (warmer) warmer->linked(peer, up);
+    if (warmer) warmer->on_link_change(peer, up);
   }
   void heard(MemberId from, const Payload& message) override {
-    if (const auto* list = std::get_if<warm::WarmMessage>(&message); list && warmer)
-      warmer->heard(from, *list);
+    if (const auto* list = std::get_if<warm::WarmupMessage>(&message); list && warmer)
+      warmer->on_message(from, *list);
   }
   void given_up_on() override {
-    if (warmer) warmer->stalled();
+    if (warmer) warmer->on_stall();
   }
   void work(std::uint64_t what) override { on_work(what); }
   Millis decide(Outbox& outbox) override {
     if (!warmer) return -1;
     int waiting = std::exchange(went, 0), free = slots - calls_out;
-    warmer->documents(waiting, free);
-    warmer->state_known(true);
+    warmer->set_load(waiting, free);
+    warmer->set_state_known(true);
     auto decided = warmer->decide();
     on_decided(decided, waiting, free);
     for (auto& send : decided.sends) {
-      if (is_liar && !send.message.asks) {
-        send.message.serving = 1e9, send.message.list.clear();
-        warm::Popular lie;
-        lie.id = static_cast<std::uint64_t>(favourite), lie.uses = 1e6, lie.took = 1000;
-        send.message.list.push_back(lie);
-        send.message.endpoint_uses = 1e6;
+      if (is_liar && !send.message.is_request) {
+        send.message.serving_time = 1e9, send.message.items.clear();
+        warm::PopularItem lie;
+        lie.id = static_cast<std::uint64_t>(favourite), lie.rate = 1e6, lie.mean_duration = 1000;
+        send.message.items.push_back(lie);
+        send.message.endpoint_rate = 1e6;
       }
       outbox.emplace_back(send.to, std::move(send.message));
     }
@@ -111,7 +111,7 @@
     member.with = share_of(mixed(world.seed(), 0x72, place, machine.boots)) < 0.8;
     member.booted = world.now();
     warming->is_liar = place == liar_, warming->favourite = endpoints_ - 1;
-    warm::Budget budget{neighbours_most, connections_most, list_most, bytes_most, within, idle_life};
+    warm::WarmupBudget budget{neighbours_most, connections_most, list_most, bytes_most, within, idle_life};
     if (member.with || !member.newcomer)
       warming->warmer =
           Warmer::make(world.roster(), self, budget, true, mixed(world.seed(), 0x73, place, machine.boots));
@@ -138,7 +138,7 @@
       auto& member = members_[i];
       if (!world.running(i) || !member.warming || !member.warming->warmer) continue;
       if (world.now() > member.booted + 1.05 * within + 2000 + member.stalled &&
-          !member.warming->warmer->over() && world.faults().empty())
+          !member.warming->warmer->is_finished() && world.faults().empty())
         world.broken("ends", "member %d still warms after %.0f ms", i, world.now() - member.booted);
     }
   }
@@ -183,10 +183,12 @@
     return static_cast<int>(std::lower_bound(weights_.begin(), weights_.end(), drawn) - weights_.begin());
   }
   void used(Warming& warming, int endpoint) {
-    if (warming.warmer) warming.warmer->used(Sort::endpoint, static_cast<std::uint64_t>(endpoint), 20);
+    if (warming.warmer)
+      warming.warmer->record_use(ItemKind::endpoint, static_cast<std::uint64_t>(endpoint), 20);
   }
-  void fate(Warming& warming, int endpoint, Warmer::Fate fate) {
-    if (warming.warmer) warming.warmer->fate(EndpointId{static_cast<std::uint64_t>(endpoint)}, fate);
+  void fate(Warming& warming, int endpoint, Warmer::ConnectionEvent fate) {
+    if (warming.warmer)
+      warming.warmer->on_connection_event(EndpointId{static_cast<std::uint64_t>(endpoint)}, fate);
   }
 
   void work(World& world, int place, const Act& act) {
@@ -205,7 +207,8 @@
         Millis took = world.chance().between(2, 60);
         if (connections.empty()) member.met += early, took += world.chance().between(5, 30);
         else {
-          if (connections.back().second) fate(warming, endpoint, Warmer::Fate::used), ++member.opened_used;
+          if (connections.back().second)
+            fate(warming, endpoint, Warmer::ConnectionEvent::used), ++member.opened_used;
           connections.pop_back();
         }
         this->act(world, world.now() + took, {Act::answered, place, 0, endpoint, false});
@@ -218,8 +221,8 @@
         this->act(world, world.now() + idle_life + 1, {Act::idle, place, 0, act.endpoint, false});
         return;
       case Act::up:
-        if (failing_[act.endpoint]) return fate(warming, act.endpoint, Warmer::Fate::failed);
-        fate(warming, act.endpoint, Warmer::Fate::up);
+        if (failing_[act.endpoint]) return fate(warming, act.endpoint, Warmer::ConnectionEvent::failed);
+        fate(warming, act.endpoint, Warmer::ConnectionEvent::connected);
         idle.push_front({world.now(), true});
         this->act(world, world.now() + idle_life + 1, {Act::idle, place, 0, act.endpoint, true});
         return;
@@ -229,30 +232,31 @@
             ++it;
             continue;
           }
-          if (it->second) fate(warming, act.endpoint, Warmer::Fate::unused), ++member.opened_unused;
+          if (it->second)
+            fate(warming, act.endpoint, Warmer::ConnectionEvent::unused), ++member.opened_unused;
           it = idle.erase(it);
         }
         return;
     }
   }
 
-  void carry_out(World& world, int place, Warmer::Decided& decided, int waiting, int free) {
+  void carry_out(World& world, int place, Warmer::Actions& decided, int waiting, int free) {
     auto& member = members_[place];
     auto& warming = *member.warming;
     for (const auto& line : decided.log) world.note("member %d says: %s", place, line.c_str());
     for (const auto& send : decided.sends)
-      if (send.message.asks) member.asked.insert(send.to);
+      if (send.message.is_request) member.asked.insert(send.to);
     if (order_.plant == "asks-all" && member.newcomer)
       for (const auto& other : world.roster()) member.asked.insert(other.id);
     if (static_cast<int>(member.asked.size()) > neighbours_most * 3)
       world.broken("asks", "member %d asks %zu neighbours", place, member.asked.size());
-    if (order_.plant == "opens-much" && !decided.open.empty())
+    if (order_.plant == "opens-much" && !decided.preconnects.empty())
       for (int i = 0; i < 100; ++i)
-        decided.open.push_back({EndpointId{static_cast<std::uint64_t>(i % endpoints_)}, 1000});
-    for (const auto& ahead : decided.open) {
+        decided.preconnects.push_back({EndpointId{static_cast<std::uint64_t>(i % endpoints_)}, 1000});
+    for (const auto& ahead : decided.preconnects) {
       int endpoint = static_cast<int>(static_cast<std::uint64_t>(ahead.endpoint));
       if (endpoint < 0 || endpoint >= endpoints_) {
-        warming.warmer->enough(ahead.endpoint);
+        warming.warmer->on_preconnect_unneeded(ahead.endpoint);
         continue;
       }
       if (free <= 0)
@@ -261,12 +265,12 @@
         world.broken("ends", "member %d opens ahead %.0f ms after its start", place,
                      world.now() - member.booted);
       auto& idle = warming.places[endpoint].idle;
-      if (static_cast<int>(idle.size()) >= ahead.up_to) {
-        warming.warmer->enough(ahead.endpoint);
+      if (static_cast<int>(idle.size()) >= ahead.max_connections) {
+        warming.warmer->on_preconnect_unneeded(ahead.endpoint);
         continue;
       }
       if (barred_[endpoint]) {
-        warming.warmer->may_not(ahead.endpoint);
+        warming.warmer->on_preconnect_refused(ahead.endpoint);
         continue;
       }
       if (++member.opened > connections_most)
@@ -279,7 +283,7 @@
       shaken(world, endpoint);
       act(world, world.now() + world.chance().between(5, 30), {Act::up, place, 0, endpoint, true});
     }
-    for (std::size_t i = 0; i < decided.load.size(); ++i) warming.warmer->loaded(1000);
+    for (std::size_t i = 0; i < decided.bodies_to_load.size(); ++i) warming.warmer->on_body_loaded(1000);
   }
 
   // Handshakes opened ahead by all members, within a second at one endpoint.
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -28,7 +28,7 @@
 namespace rockcrank::model {
 
 using Payload = std::variant<fleet::MembershipMessage, fleet::RegisterMessage, fleet::CustodyMessage,
-                             warm::WarmMessage, latest::LatestMessage>;
+                             warm::WarmupMessage, latest::LatestMessage>;
 using Outbox = std::vector<std::pair<fleet::MemberId, Payload>>;
 
 // What a check found: which check, and what was seen.
--- a/src/peer/custody.cpp
+++ b/src/peer/custody.cpp
@@ -31,17 +31,18 @@
 
 const std::string lives_note = "custody lives", group_note = "custody group ";
 
-class Keeping final : public Part {
+class Keeping final : public FleetComponent {
  public:
-  explicit Keeping(const PartPlace& place)
+  explicit Keeping(const ComponentContext& place)
       : place_(place),
-        around_(place.around),
-        store_(place.around.store),
-        due_(place.around.loop, [this] { turn(); }) {
-    const auto& config = place.fleet;
-    custody_ =
-        Custody::make(config.roster, config.self, place.own,
-                      {config.lease, config.drift, config.copy_within, config.wait_for_copy}, place.seed);
+        around_(place.relay),
+        store_(place.relay.store),
+        due_(place.relay.loop, [this] { turn(); }) {
+    const auto& config = place.config;
+    custody_ = Custody::make(
+        config.roster, config.self, place.incarnation,
+        {config.lease_duration, config.max_clock_drift, config.replication_timeout, config.wait_for_replica},
+        place.seed);
   }
 
   void start() override {
@@ -54,7 +55,7 @@
         log_line("documents: %s", fleet::BadStateFile("a note cannot be read", name, error.what()).what());
       }
     for (const auto& life : lives) custody_->add_past_incarnation(life);
-    lives.push_back(place_.own);
+    lives.push_back(place_.incarnation);
     if (lives.size() > lives_most) lives.erase(lives.begin());
     store_.set_metadata(lives_note, packed(lives));
     store_.flush();
@@ -63,22 +64,22 @@
     soon();
   }
 
-  void heard(MemberId from, std::string_view payload) override {
+  void on_message(MemberId from, std::string_view payload) override {
     auto message = unpacked<CustodyMessage>(payload);
     begin();
     custody_->on_message(from, message);
     soon();
   }
-  void linked(MemberId peer, Incarnation, bool up) override {
+  void on_link_change(MemberId peer, Incarnation, bool up) override {
     begin(), custody_->on_link_change(peer, up), soon();
   }
-  void member(MemberId member, Incarnation life, fleet::MemberState condition) override {
+  void on_member_change(MemberId member, Incarnation life, fleet::MemberState condition) override {
     begin();
     custody_->on_member_change(member, life, condition);
     custody_->set_has_capacity(around_.decision.has_capacity() && store_.has_room(room_bytes));
     soon();
   }
-  void given_up_on() override { soon(); }
+  void on_declared_dead() override { soon(); }
   void leave() override { custody_->leave(); }
 
   // Without a lease nothing goes, and what the decision module would have sent waits.
@@ -90,7 +91,7 @@
     around_.decision.pause_sending(held);
   }
 
-  void noted(char kind, DocId doc, int transmission) override {
+  void on_store_record(char kind, DocId doc, int transmission) override {
     if (quiet_) return;
     begin();
     if (kind == 'D') {
@@ -109,22 +110,22 @@
     soon();
   }
 
-  bool may_answer(DocId doc) override {
+  bool may_acknowledge(DocId doc) override {
     return ask(doc, [&](const GlobalDocId& deed) { return custody_->is_accepted(deed); });
   }
   bool owns(DocId doc) override {
     return ask(doc, [&](const GlobalDocId& deed) { return custody_->owns(deed); });
   }
-  bool may_go(DocId doc, int transmission) override {
+  bool may_send(DocId doc, int transmission) override {
     return ask(doc, [&](const GlobalDocId& deed) { return custody_->may_send(deed, transmission); });
   }
-  bool may_tell(DocId doc) override {
+  bool may_report_end(DocId doc) override {
     if (ask(doc, [&](const GlobalDocId& deed) { return custody_->may_report_end(deed); })) return true;
     untold_.insert(doc);
     return false;
   }
 
-  std::string figures() const override {
+  std::string summary() const override {
     auto count = custody_->statistics();
     char line[110];
     std::snprintf(line, sizeof line, "documents: %zu own, %zu copies (%zu bytes), %zu groups taken over",
@@ -205,24 +206,24 @@
     if (kept_)
       for (const auto& send : decided.sends)
         place_.link.send(send.to, Channel::custody, packed(send.message));
-    each(decided.accepted, [this](DocId doc) { around_.answer(doc, true); });
-    each(decided.not_accepted, [this](DocId doc) { around_.answer(doc, false); });
+    each(decided.accepted, [this](DocId doc) { around_.answer_client(doc, true); });
+    each(decided.not_accepted, [this](DocId doc) { around_.answer_client(doc, false); });
     each(decided.relinquished, [this](DocId doc) {
       forget(doc);
-      around_.let_go(doc);
+      around_.discard_document(doc);
     });
     each(decided.suspended, [this](DocId doc) { around_.decision.withdraw(doc); });
     for (DocId doc : owed)
       if (auto held = store_.documents().find(doc); held != store_.documents().end()) {
         if (held->second.ended) untold_.insert(doc);
-        else around_.owe(doc);
+        else around_.resume_document(doc);
       }
     for (DocId doc : std::exchange(untold_, {}))
-      if (store_.documents().count(doc) && may_tell(doc)) around_.owe(doc);
+      if (store_.documents().count(doc) && may_report_end(doc)) around_.resume_document(doc);
     if (!decided.cleared_transmissions.empty())
-      around_.begin();  // the relay asks again for each call that it keeps back
+      around_.begin_turn();  // the relay asks again for each call that it keeps back
     for (const auto& line : decided.log_lines) say(line);
-    if (held_ != !custody_->holds_lease()) around_.begin();
+    if (held_ != !custody_->holds_lease()) around_.begin_turn();
     if (decided.wake_in >= 0) due_.set(EventLoop::monotonic_time() + decided.wake_in);
   }
   template <typename Do>
@@ -272,8 +273,8 @@
     log_line("%s", line.c_str());
   }
 
-  const PartPlace place_;
-  Around& around_;
+  const ComponentContext place_;
+  RelayContext& around_;
   Store& store_;
   std::unique_ptr<Custody> custody_;
   Timer due_;
@@ -289,8 +290,8 @@
 
 }  // namespace
 
-std::unique_ptr<Part> make_custody(const PartPlace& place) {
-  if (place.fleet.copies == 0) return nullptr;
+std::unique_ptr<FleetComponent> make_custody(const ComponentContext& place) {
+  if (place.config.replica_count == 0) return nullptr;
   return std::make_unique<Keeping>(place);
 }
 
--- a/src/peer/fleet.cpp
+++ b/src/peer/fleet.cpp
@@ -46,7 +46,7 @@
 }  // namespace
 
 struct Fleet::Parts {
-  Parts(Around& around, FleetConfig given, const std::string& state_folder, std::uint64_t seed)
+  Parts(RelayContext& around, FleetConfig given, const std::string& state_folder, std::uint64_t seed)
       : config(std::move(given)),
         folder(state_folder + "/fleet"),
         own(next_life(folder, seed)),
@@ -58,17 +58,17 @@
     link.on_message = [this](MemberId from, Channel channel, std::string_view payload) {
       hear(from, channel, payload);
     };
-    link.on_peer = [this](MemberId peer, Incarnation life, bool up) {
+    link.on_link_change = [this](MemberId peer, Incarnation life, bool up) {
       membership->begin_turn(loop.now()), membership->on_link_change(peer, life, up);
-      each([&](Part& part) { part.linked(peer, life, up); });
+      each([&](FleetComponent& part) { part.on_link_change(peer, life, up); });
       soon();
     };
-    link.on_twin = [this](Incarnation other) { name_twin(config.self, other); };
-    add(Channel::registers, make_share(place)), add(Channel::custody, make_custody(place));
-    add(Channel::latest, make_latest(place)), add(Channel::warm, make_warm(place));
+    link.on_duplicate_self = [this](Incarnation other) { name_twin(config.self, other); };
+    add(Channel::registers, make_shared_state(place)), add(Channel::custody, make_custody(place));
+    add(Channel::latest, make_streams(place)), add(Channel::warm, make_warmup(place));
   }
 
-  void add(Channel channel, std::unique_ptr<Part> part) {
+  void add(Channel channel, std::unique_ptr<FleetComponent> part) {
     if (part) parts.emplace_back(channel, std::move(part));
   }
 
@@ -80,8 +80,8 @@
         return soon();
       }
       for (auto& [own_channel, part] : parts)
-        if (own_channel == channel) return part->heard(from, payload);
-    } catch (const fleet::FleetError& error) { link.refuse(from, error.what()); }
+        if (own_channel == channel) return part->on_message(from, payload);
+    } catch (const fleet::FleetError& error) { link.reject_peer(from, error.what()); }
   }
 
   void soon() { due.set(loop.now()); }
@@ -106,9 +106,11 @@
     for (const auto& send : decided.sends) link.send(send.to, Channel::membership, packed(send.message));
     for (const auto& line : decided.log) log_line("fleet: %s", line.c_str());
     for (const auto& change : decided.changes)
-      each([&](Part& part) { part.member(change.member, change.incarnation, change.state); });
+      each([&](FleetComponent& part) {
+        part.on_member_change(change.member, change.incarnation, change.state);
+      });
     for (const auto& twin : decided.duplicates) name_twin(twin.member, twin.incarnation);
-    if (decided.declared_dead) each([](Part& part) { part.given_up_on(); });
+    if (decided.declared_dead) each([](FleetComponent& part) { part.on_declared_dead(); });
     if (decided.wake_in >= 0) due.set(loop.now() + decided.wake_in);
   }
 
@@ -128,55 +130,55 @@
   Link link;
   const std::unique_ptr<fleet::Membership> membership;
   Timer due;
-  const PartPlace place;
-  std::vector<std::pair<Channel, std::unique_ptr<Part>>> parts;
+  const ComponentContext place;
+  std::vector<std::pair<Channel, std::unique_ptr<FleetComponent>>> parts;
 };
 
-Fleet::Fleet(Around& around, FleetConfig config, const std::string& state_folder, std::uint64_t seed)
+Fleet::Fleet(RelayContext& around, FleetConfig config, const std::string& state_folder, std::uint64_t seed)
     : parts_(std::make_unique<Parts>(around, std::move(config), state_folder, seed)) {}
 Fleet::~Fleet() = default;
 
 void Fleet::start() {
-  parts_->each([](Part& part) { part.start(); });
+  parts_->each([](FleetComponent& part) { part.start(); });
   parts_->soon();
-  log_line("fleet %s: member %s, life %llu, %zu members, %zu parts", parts_->config.fleet.c_str(),
+  log_line("fleet %s: member %s, life %llu, %zu members, %zu parts", parts_->config.fleet_name.c_str(),
            parts_->config.self_name.c_str(), static_cast<unsigned long long>(parts_->own.number),
            parts_->config.roster.size(), parts_->parts.size());
 }
 void Fleet::before_turn() {
-  parts_->each([](Part& part) { part.before_turn(); });
+  parts_->each([](FleetComponent& part) { part.before_turn(); });
 }
 void Fleet::after_turn(const Actions& decided) {
-  parts_->each([&](Part& part) { part.after_turn(decided); });
+  parts_->each([&](FleetComponent& part) { part.after_turn(decided); });
 }
-void Fleet::noted(char kind, DocId doc, int transmission) {
-  parts_->each([&](Part& part) { part.noted(kind, doc, transmission); });
+void Fleet::on_store_record(char kind, DocId doc, int transmission) {
+  parts_->each([&](FleetComponent& part) { part.on_store_record(kind, doc, transmission); });
 }
-void Fleet::outcome(const Outcome& outcome) {
-  parts_->each([&](Part& part) { part.outcome(outcome); });
+void Fleet::on_outcome(const Outcome& outcome) {
+  parts_->each([&](FleetComponent& part) { part.on_outcome(outcome); });
 }
-void Fleet::told_out(const std::string& endpoint, bool out) {
-  parts_->each([&](Part& part) { part.told_out(endpoint, out); });
+void Fleet::set_offline(const std::string& endpoint, bool out) {
+  parts_->each([&](FleetComponent& part) { part.set_offline(endpoint, out); });
 }
-bool Fleet::may_answer(DocId doc) {
-  return parts_->all([&](Part& part) { return part.may_answer(doc); });
+bool Fleet::may_acknowledge(DocId doc) {
+  return parts_->all([&](FleetComponent& part) { return part.may_acknowledge(doc); });
 }
 bool Fleet::owns(DocId doc) {
-  return parts_->all([&](Part& part) { return part.owns(doc); });
+  return parts_->all([&](FleetComponent& part) { return part.owns(doc); });
 }
-bool Fleet::may_go(DocId doc, int transmission) {
-  return parts_->all([&](Part& part) { return part.may_go(doc, transmission); });
+bool Fleet::may_send(DocId doc, int transmission) {
+  return parts_->all([&](FleetComponent& part) { return part.may_send(doc, transmission); });
 }
-bool Fleet::may_tell(DocId doc) {
-  return parts_->all([&](Part& part) { return part.may_tell(doc); });
+bool Fleet::may_report_end(DocId doc) {
+  return parts_->all([&](FleetComponent& part) { return part.may_report_end(doc); });
 }
 void Fleet::leave() {
-  parts_->each([](Part& part) { part.leave(); });
+  parts_->each([](FleetComponent& part) { part.leave(); });
 }
-std::string Fleet::figures() const {
+std::string Fleet::summary() const {
   std::string all;
-  parts_->each([&](Part& part) {
-    if (auto line = part.figures(); !line.empty()) all += (all.empty() ? "" : "; ") + line;
+  parts_->each([&](FleetComponent& part) {
+    if (auto line = part.summary(); !line.empty()) all += (all.empty() ? "" : "; ") + line;
   });
   return all;
 }
--- a/src/peer/fleet.h
+++ b/src/peer/fleet.h
@@ -9,14 +9,14 @@
 #include <string_view>
 #include <vector>
 
-#include "peer/part.h"
+#include "peer/component.h"
 
 namespace rockcrank::peer {
 
 class Fleet {
  public:
   // Reads no file but the life number in the folder. around lives longer.
-  Fleet(Around& around, FleetConfig config, const std::string& state_folder, std::uint64_t seed);
+  Fleet(RelayContext& around, FleetConfig config, const std::string& state_folder, std::uint64_t seed);
   ~Fleet();
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
@@ -24,15 +24,15 @@
   void start();  // once the relay has told the decision module of its list
   void before_turn();
   void after_turn(const Actions& decided);
-  void noted(char kind, DocId doc, int transmission);
-  void outcome(const Outcome& outcome);
-  void told_out(const std::string& endpoint, bool out);
-  bool may_answer(DocId doc);
+  void on_store_record(char kind, DocId doc, int transmission);
+  void on_outcome(const Outcome& outcome);
+  void set_offline(const std::string& endpoint, bool out);
+  bool may_acknowledge(DocId doc);
   bool owns(DocId doc);
-  bool may_go(DocId doc, int transmission);
-  bool may_tell(DocId doc);
+  bool may_send(DocId doc, int transmission);
+  bool may_report_end(DocId doc);
   void leave();
-  std::string figures() const;
+  std::string summary() const;
 
  private:
   struct Parts;
@@ -40,9 +40,10 @@
 };
 
 // Each part's own maker, in its own file under src/peer/: none where the fleet file leaves it off.
-std::unique_ptr<Part> make_share(const PartPlace& place);    // registers, and the state file
-std::unique_ptr<Part> make_custody(const PartPlace& place);  // documents
-std::unique_ptr<Part> make_warm(const PartPlace& place);
-std::unique_ptr<Part> make_latest(const PartPlace& place);
+std::unique_ptr<FleetComponent> make_shared_state(
+    const ComponentContext& place);                                           // registers, and the state file
+std::unique_ptr<FleetComponent> make_custody(const ComponentContext& place);  // documents
+std::unique_ptr<FleetComponent> make_warmup(const ComponentContext& place);
+std::unique_ptr<FleetComponent> make_streams(const ComponentContext& place);
 
 }  // namespace rockcrank::peer
--- a/src/peer/fleet_config.cpp
+++ b/src/peer/fleet_config.cpp
@@ -162,7 +162,7 @@
     }
     if (at.port == 0) entry.fail("at", "the port is 0", "give the port at which it listens to members");
     entry.done();
-    if (!config.places.emplace(member.id, at).second)
+    if (!config.addresses.emplace(member.id, at).second)
       entry.fail("name", "the member " + member.name + " stands twice", "give each relay a name of its own");
     if (!places.insert(at.host + ":" + std::to_string(at.port)).second)
       entry.fail("at", "two members are at one address", "give each relay an address of its own");
@@ -172,7 +172,7 @@
             [](const auto& one, const auto& other) { return one.id < other.id; });
   config.self_name = file.text_or("self", self_name);
   config.self = fleet::MemberId(fnv1a_hash(config.self_name));
-  if (!config.places.count(config.self))
+  if (!config.addresses.count(config.self))
     file.fail("self", "this relay, " + config.self_name + ", is no member",
               "add a [[member]] of that name, or set self to the member that it is");
 }
@@ -181,43 +181,44 @@
 constexpr std::size_t document_frame = 192 * 1024;
 
 void read_documents(Section& documents, std::size_t members, FleetConfig& config) {
-  config.copies = static_cast<int>(documents.whole("copies", 0, 2));
-  if (config.copies == 1)
+  config.replica_count = static_cast<int>(documents.whole("copies", 0, 2));
+  if (config.replica_count == 1)
     documents.fail("copies", "one copy and the owner are no majority of three", "give 0 or 2");
-  if (config.copies > 0 && members < static_cast<std::size_t>(config.copies) + 1)
+  if (config.replica_count > 0 && members < static_cast<std::size_t>(config.replica_count) + 1)
     documents.fail("copies",
                    "there are only " + std::to_string(members) + " members for an owner and 2 copies",
                    "list at least 3 members, or give 0");
-  config.wait_for_copy = documents.flag("wait");
-  config.copy_within = documents.whole("copy_within_ms", 1, client_patience);
-  config.lease = documents.whole("lease_ms", 1, day);
-  config.drift = documents.share("drift", 0, 0.2);
+  config.wait_for_replica = documents.flag("wait");
+  config.replication_timeout = documents.whole("copy_within_ms", 1, client_patience);
+  config.lease_duration = documents.whole("lease_ms", 1, day);
+  config.max_clock_drift = documents.share("drift", 0, 0.2);
   documents.done();
-  if (config.wait_for_copy && config.copies == 0)
+  if (config.wait_for_replica && config.replica_count == 0)
     documents.fail("wait", "there is no copy to wait for", "set copies to 2, or wait to false");
   // Guards against ownership lost each time that one message is late: the drift is taken off at both ends.
-  if (auto least = renewals_in_lease * config.copy_within / (1 - config.drift); config.lease < least)
+  if (auto least = renewals_in_lease * config.replication_timeout / (1 - config.max_clock_drift);
+      config.lease_duration < least)
     documents.fail("lease_ms", "the lease is too short against copy_within_ms",
                    "give " + plain(static_cast<double>(static_cast<long long>(least) + 1)) + " or more");
 }
 
 void read_warm(Section& warm, FleetConfig& config) {
-  config.warm = warm.flag("on");
-  config.warm_neighbours = static_cast<int>(warm.whole("neighbours", 1, 16));
-  config.warm_connections = static_cast<int>(warm.whole("connections", 0, 65536));
-  config.list_most = static_cast<int>(warm.whole("list", 1, 4096));
-  config.warm_bytes = static_cast<std::size_t>(warm.whole("body_kb", 0, 1 << 20)) * 1024;
-  config.warm_within = warm.whole("within_ms", 1, day);
+  config.warmup_enabled = warm.flag("on");
+  config.warmup_max_neighbours = static_cast<int>(warm.whole("neighbours", 1, 16));
+  config.warmup_max_connections = static_cast<int>(warm.whole("connections", 0, 65536));
+  config.warmup_max_list_items = static_cast<int>(warm.whole("list", 1, 4096));
+  config.warmup_max_bytes = static_cast<std::size_t>(warm.whole("body_kb", 0, 1 << 20)) * 1024;
+  config.warmup_time_limit = warm.whole("within_ms", 1, day);
   warm.done();
 }
 
 void read_latest(Section& latest, FleetConfig& config) {
-  config.latest_disk_bytes = static_cast<std::size_t>(latest.whole("disk_mb", 1, 1 << 20)) << 20;
+  config.max_log_disk_bytes = static_cast<std::size_t>(latest.whole("disk_mb", 1, 1 << 20)) << 20;
   config.segment_bytes = static_cast<std::size_t>(latest.whole("segment_kb", 1, 1 << 16)) * 1024;
-  config.version_ahead = latest.whole("version_ahead_ms", 0, day);
+  config.max_clock_offset = latest.whole("version_ahead_ms", 0, day);
   latest.done();
   // A compaction needs room for what it writes anew before the old segment may go.
-  if (config.segment_bytes * 4 > config.latest_disk_bytes)
+  if (config.segment_bytes * 4 > config.max_log_disk_bytes)
     latest.fail("segment_kb", "four segments do not fit in disk_mb", "give smaller segments or more disk");
 }
 
@@ -244,11 +245,11 @@
     if (!stream.subscribers.insert(DestinationId(*number)).second)
       entry.fail("subscribers", "destination " + std::to_string(*number) + " stands twice", "name it once");
   }
-  stream.tombstone_life = entry.whole("tombstone_life_ms", 0, 400 * day);
-  stream.least_age = entry.whole("least_age_ms", 0, 400 * day);
-  stream.superseded_share = entry.share("superseded_share", 0.01, 1);
+  stream.tombstone_retention = entry.whole("tombstone_life_ms", 0, 400 * day);
+  stream.min_compaction_lag = entry.whole("least_age_ms", 0, 400 * day);
+  stream.min_dirty_ratio = entry.share("superseded_share", 0.01, 1);
   entry.done();
-  if (stream.tombstone_life < stream.least_age)
+  if (stream.tombstone_retention < stream.min_compaction_lag)
     entry.fail("tombstone_life_ms", "it is shorter than least_age_ms", "give least_age_ms or more");
   config.streams.push_back(std::move(stream));
 }
@@ -260,18 +261,18 @@
   auto table = parsed(path);
   Section file(path, table, "");
   FleetConfig config;
-  config.fleet = file.text("fleet");
+  config.fleet_name = file.text("fleet");
   read_members(file, self_name, config);
   auto link = file.part("link");
   if (!link) file.fail("link", "the section is missing", "add [link] with queue_kb and frame_kb");
-  config.queue_bytes = static_cast<std::size_t>(link->whole("queue_kb", 4, 1 << 20)) * 1024;
-  config.frame_bytes = static_cast<std::size_t>(link->whole("frame_kb", 4, 1 << 16)) * 1024;
+  config.max_queue_bytes = static_cast<std::size_t>(link->whole("queue_kb", 4, 1 << 20)) * 1024;
+  config.max_frame_bytes = static_cast<std::size_t>(link->whole("frame_kb", 4, 1 << 16)) * 1024;
   link->done();
-  if (config.frame_bytes > config.queue_bytes)
+  if (config.max_frame_bytes > config.max_queue_bytes)
     link->fail("frame_kb", "one message does not fit in queue_kb", "give queue_kb or less");
-  if (auto share = file.part("share")) config.share = share->flag("on"), share->done();
+  if (auto share = file.part("share")) config.shared_state_enabled = share->flag("on"), share->done();
   if (auto documents = file.part("documents")) read_documents(*documents, config.roster.size(), config);
-  if (config.copies > 0 && config.frame_bytes < document_frame)
+  if (config.replica_count > 0 && config.max_frame_bytes < document_frame)
     link->fail("frame_kb", "a document with what its copies know of it may not fit in one message",
                "give 192 or more, or documents.copies = 0");
   if (auto warm = file.part("warm")) read_warm(*warm, config);
@@ -286,25 +287,25 @@
   return config;
 }
 
-std::size_t disk_kept(const std::optional<FleetConfig>& config) {
-  return config ? state_bytes + config->latest_disk_bytes : 0;
+std::size_t reserved_disk_bytes(const std::optional<FleetConfig>& config) {
+  return config ? state_bytes + config->max_log_disk_bytes : 0;
 }
 
-std::size_t descriptors_kept(const std::optional<FleetConfig>& config) {
+std::size_t reserved_descriptors(const std::optional<FleetConfig>& config) {
   return config ? 3 * config->roster.size() + strangers_most : 0;
 }
 
-std::optional<FleetConfig> read_fleet(const Config& relay) {
+std::optional<FleetConfig> load_fleet_config(const Config& relay) {
   if (relay.fleet_file.empty()) return std::nullopt;
-  std::optional config = read_fleet_file(relay.fleet_file, relay.name, relay.repeats());
-  if (relay.max_disk_bytes < disk_kept(config) + store_least)
-    throw BadFleetFile("its parts would take " + plain(static_cast<double>(disk_kept(config))) + " of " +
-                           plain(static_cast<double>(relay.max_disk_bytes)) + " bytes on disk",
+  std::optional config = read_fleet_file(relay.fleet_file, relay.name, relay.retry_safety_by_type());
+  if (relay.max_disk_bytes < reserved_disk_bytes(config) + store_least)
+    throw BadFleetFile("its parts would take " + plain(static_cast<double>(reserved_disk_bytes(config))) +
+                           " of " + plain(static_cast<double>(relay.max_disk_bytes)) + " bytes on disk",
                        relay.fleet_file + ", latest.disk_mb",
                        "lower it, or raise limits.disk_mb of the relay");
-  if (relay.max_endpoint_connections < descriptors_kept(config) + connections_least)
+  if (relay.max_endpoint_connections < reserved_descriptors(config) + connections_least)
     throw BadFleetFile(plain(static_cast<double>(config->roster.size())) + " members may take " +
-                           plain(static_cast<double>(descriptors_kept(config))) + " of " +
+                           plain(static_cast<double>(reserved_descriptors(config))) + " of " +
                            plain(static_cast<double>(relay.max_endpoint_connections)) + " connections",
                        relay.fleet_file + ", member",
                        "raise limits.sockets of the relay, or name fewer members");
--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -179,11 +179,11 @@
   Parts(Link& link, EventLoop& loop, const FleetConfig& config, Incarnation own, std::uint64_t seed)
       : link_(link),
         loop_(loop),
-        fleet_(config.fleet),
+        fleet_(config.fleet_name),
         self_(config.self),
-        here_(config.places.at(config.self)),
-        queue_most_(config.queue_bytes),
-        frame_most_(config.frame_bytes),
+        here_(config.addresses.at(config.self)),
+        queue_most_(config.max_queue_bytes),
+        frame_most_(config.max_frame_bytes),
         own_(own),
         chance_(static_cast<std::minstd_rand::result_type>(seed ^ own.nonce ^ (seed >> 32))),
         look_(loop, [this] { look(); }),
@@ -192,7 +192,7 @@
     for (const auto& member : config.roster) {
       if (member.id == self_) continue;
       auto& peer = dialled_[member.id];
-      peer.id = member.id, peer.name = member.name, peer.at = config.places.at(member.id);
+      peer.id = member.id, peer.name = member.name, peer.at = config.addresses.at(member.id);
     }
     // Guards against a whole fleet that starts together and dials each of its relays in the same moment.
     for (auto& [id, peer] : dialled_) peer.next = looked_ + share() * static_cast<double>(dialled_.size());
@@ -355,7 +355,7 @@
     for (auto& [id, peer] : dialled_) write(peer);
     auto notices = std::exchange(notices_, {});
     for (const auto& notice : notices)
-      if (link_.on_peer) link_.on_peer(notice.peer, notice.life, notice.up);
+      if (link_.on_link_change) link_.on_link_change(notice.peer, notice.life, notice.up);
     auto again = std::exchange(again_, {});
     for (auto* waiting : again) read(*waiting);
   }
@@ -527,7 +527,8 @@
   }
 
   void twin(Incarnation life) {
-    if (twins_.size() < 64 && twins_.insert(life).second && link_.on_twin) link_.on_twin(life);
+    if (twins_.size() < 64 && twins_.insert(life).second && link_.on_duplicate_self)
+      link_.on_duplicate_self(life);
   }
 
   // ---- what is late
@@ -626,15 +627,15 @@
   return parts_->send(to, channel, payload);
 }
 
-bool Link::up(MemberId peer) const {
+bool Link::is_up(MemberId peer) const {
   auto found = parts_->dialled_.find(peer);
   return found != parts_->dialled_.end() && found->second.welcomed;
 }
 
-Millis Link::crossing(MemberId peer) const { return parts_->crossing(peer); }
+Millis Link::one_way_delay(MemberId peer) const { return parts_->crossing(peer); }
 
-void Link::refuse(MemberId peer, const std::string& why) { parts_->refuse(peer, why); }
+void Link::reject_peer(MemberId peer, const std::string& why) { parts_->refuse(peer, why); }
 
-std::size_t Link::connections() const { return parts_->connections(); }
+std::size_t Link::connection_count() const { return parts_->connections(); }
 
 }  // namespace rockcrank::peer
--- a/src/peer/link.h
+++ b/src/peer/link.h
@@ -29,19 +29,19 @@
 
   // from: the member that the connection's greeting named, whose life it is in now.
   std::function<void(fleet::MemberId from, Channel channel, std::string_view payload)> on_message;
-  std::function<void(fleet::MemberId peer, fleet::Incarnation life, bool up)> on_peer;
+  std::function<void(fleet::MemberId peer, fleet::Incarnation life, bool up)> on_link_change;
   // Another process says it is this member, in a life that is not this one.
-  std::function<void(fleet::Incarnation other)> on_twin;
+  std::function<void(fleet::Incarnation other)> on_duplicate_self;
 
   // False: the peer is not connected, or its queue is full (then its connection is dropped, to be caught up
   // with later). Payloads of one peer arrive in order or not at all.
   bool send(fleet::MemberId to, Channel channel, std::string_view payload);
-  bool up(fleet::MemberId peer) const;
+  bool is_up(fleet::MemberId peer) const;
   // Half of the least round trip to that peer in the last seconds, ms; negative: not known.
-  Millis crossing(fleet::MemberId peer) const;
+  Millis one_way_delay(fleet::MemberId peer) const;
   // A part found that this peer sends what cannot be read: named, the connection closed.
-  void refuse(fleet::MemberId peer, const std::string& why);
-  std::size_t connections() const;
+  void reject_peer(fleet::MemberId peer, const std::string& why);
+  std::size_t connection_count() const;
 
  private:
   struct Parts;
--- a/src/peer/latest_log.h
+++ b/src/peer/persistent_log.h
@@ -14,40 +14,40 @@
 
 namespace rockcrank::peer {
 
-class LatestLog {
+class PersistentLog {
  public:
-  struct Decided {
+  struct Actions {
     std::vector<std::pair<fleet::MemberId, latest::LatestMessage>> sends;
-    std::vector<latest::Latest::Delivery> deliver, withdraw;
-    std::vector<std::pair<latest::StreamId, latest::Stamp>> copied;
+    std::vector<latest::CompactedLog::Delivery> deliver, withdraw;
+    std::vector<std::pair<latest::StreamId, latest::HybridTimestamp>> replicated;
     std::vector<std::string> log;
     Millis wake_in = -1;
   };
   // Reads the files; what is wrong with them is said in the first turn's log. Throws NoRoom where not even
   // the manifest can be written.
-  LatestLog(std::unique_ptr<Files> files, const std::string& where, const fleet::Roster& roster,
-            fleet::MemberId self, const latest::LatestSettings& settings, std::size_t cache_bytes,
-            std::uint64_t seed, Millis now, Millis wall);
+  PersistentLog(std::unique_ptr<FileSystem> files, const std::string& where, const fleet::Roster& roster,
+                fleet::MemberId self, const latest::LatestSettings& settings, std::size_t cache_bytes,
+                std::uint64_t seed, Millis now, Millis wall);
 
-  latest::Latest& module() { return *module_; }
-  const latest::Latest& module() const { return *module_; }
+  latest::CompactedLog& module() { return *module_; }
+  const latest::CompactedLog& module() const { return *module_; }
   const Segments& segments() const { return *segments_; }
 
-  void begin(Millis now, Millis wall) { module_->begin(now, wall); }
+  void begin_turn(Millis now, Millis wall) { module_->begin_turn(now, wall); }
   // A document taken on here, its stamp left out; it outlives the process from here on. Throws NoRoom and
   // VersionAhead, and then it is not in the log.
-  latest::Stamp take(latest::Record record);
-  void heard(fleet::MemberId from, const latest::LatestMessage& message);
+  latest::HybridTimestamp append_local(latest::Record record);
+  void on_message(fleet::MemberId from, const latest::LatestMessage& message);
   // The newest of a key; none: nothing is held, or it cannot be read (then it comes again from others).
   std::optional<latest::Record> read(latest::StreamId stream, const latest::KeyHash& key);
-  Decided decide();
+  Actions decide();
 
  private:
   void report(const std::string& line);
-  bool keep(const latest::Entry& entry, const latest::Record& record, bool own);
+  bool keep(const latest::RecordHeader& entry, const latest::Record& record, bool own);
   void compact(latest::SegmentId segment);
 
-  std::unique_ptr<latest::Latest> module_;
+  std::unique_ptr<latest::CompactedLog> module_;
   std::unique_ptr<Segments> segments_;
   std::vector<std::string> log_;
 };
--- a/src/peer/whisper.cpp
+++ b/src/peer/route_gossip_socket.cpp
@@ -1,7 +1,7 @@
 // Datagrams in and out; whisper.h says what it owns. What comes is read as a peer's word: checked, bounded a
 // turn.
 
-#include "peer/whisper.h"
+#include "peer/route_gossip_socket.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -29,7 +29,8 @@
 
 }  // namespace
 
-Whisper::Whisper(EventLoop& loop, Decision& decision, const Config& config, std::function<void()> begin)
+RouteGossipSocket::RouteGossipSocket(EventLoop& loop, Decision& decision, const Config& config,
+                                     std::function<void()> begin)
     : loop_(loop),
       decision_(decision),
       begin_(std::move(begin)),
@@ -45,12 +46,12 @@
   loop_.add(fd_, POLLIN, this);
 }
 
-Whisper::~Whisper() {
+RouteGossipSocket::~RouteGossipSocket() {
   loop_.remove(fd_);
   ::close(fd_);
 }
 
-void Whisper::ready(short) {
+void RouteGossipSocket::ready(short) {
   notes_->begin_turn(loop_.now());
   char bytes[datagram_most + 1];
   for (int i = 0; i < a_round; ++i) {
@@ -63,7 +64,7 @@
   begin_();
 }
 
-void Whisper::turn() {
+void RouteGossipSocket::turn() {
   notes_->begin_turn(loop_.now());
   auto decided = notes_->decide();
   for (const auto& datagram : decided.datagrams) {
@@ -75,11 +76,11 @@
   if (decided.wake_in >= 0) due_.set(loop_.now() + decided.wake_in);
 }
 
-void Whisper::before_turn() {
-  for (const auto& known : notes_->take_reports()) decision_.apply_route_status(known);
+void RouteGossipSocket::before_turn() {
+  for (const auto& known : notes_->take_route_statuses()) decision_.apply_route_status(known);
 }
 
-void Whisper::after_turn() {
+void RouteGossipSocket::after_turn() {
   auto own = decision_.route_statuses(false);
   if (own.empty()) return;  // what waits has its timer
   notes_->begin_turn(loop_.now());
--- a/src/peer/whisper.h
+++ b/src/peer/route_gossip_socket.h
@@ -15,13 +15,13 @@
 
 namespace rockcrank::peer {
 
-class Whisper : public EventHandler {
+class RouteGossipSocket : public EventHandler {
  public:
   // begin: opens a turn. Throws std::runtime_error where the address cannot be had.
-  Whisper(EventLoop& loop, Decision& decision, const Config& config, std::function<void()> begin);
-  ~Whisper() override;
-  Whisper(const Whisper&) = delete;
-  Whisper& operator=(const Whisper&) = delete;
+  RouteGossipSocket(EventLoop& loop, Decision& decision, const Config& config, std::function<void()> begin);
+  ~RouteGossipSocket() override;
+  RouteGossipSocket(const RouteGossipSocket&) = delete;
+  RouteGossipSocket& operator=(const RouteGossipSocket&) = delete;
 
   void before_turn();  // what was heard goes to the decision module
   void after_turn();   // what it has learnt itself goes out
--- a/src/peer/segments.cpp
+++ b/src/peer/segments.cpp
@@ -78,7 +78,7 @@
   return sum_of(payload) == sum ? Found::whole : Found::damaged;
 }
 
-class DiskFiles final : public Files {
+class DiskFiles final : public FileSystem {
  public:
   explicit DiskFiles(std::string folder) : folder_(std::move(folder)) {
     std::filesystem::create_directories(folder_);
@@ -124,7 +124,7 @@
     }
     return written;
   }
-  bool cut(const std::string& name, std::size_t size) override {
+  bool truncate(const std::string& name, std::size_t size) override {
     return ::truncate(path(name).c_str(), static_cast<off_t>(size)) == 0;
   }
   bool sync(const std::string& name) override {
@@ -167,20 +167,23 @@
 
 }  // namespace
 
-std::unique_ptr<Files> disk_files(const std::string& folder) { return std::make_unique<DiskFiles>(folder); }
+std::unique_ptr<FileSystem> make_disk_file_system(const std::string& folder) {
+  return std::make_unique<DiskFiles>(folder);
+}
 
 KeyHash key_hash(std::string_view key) {
   auto hash = XXH3_128bits(key.data(), key.size());
   return {hash.high64, hash.low64};
 }
 
-Entry entry_of(const Record& record) {
-  Entry entry;
-  entry.stream = record.stream, entry.key = key_hash(record.key), entry.stamp = record.stamp;
-  entry.tombstone = record.body.empty(), entry.own = record.own, entry.own_until = record.own_until;
+RecordHeader header_of(const Record& record) {
+  RecordHeader entry;
+  entry.stream = record.stream, entry.key = key_hash(record.key), entry.timestamp = record.timestamp;
+  entry.tombstone = record.body.empty(), entry.direct_destination = record.direct_destination,
+  entry.direct_until = record.direct_until;
   auto content = record;
-  content.stamp = {};
-  entry.content = sum_of(packed(content));
+  content.timestamp = {};
+  entry.content_hash = sum_of(packed(content));
   return entry;
 }
 
@@ -202,7 +205,8 @@
       "it is set aside as " + name + ".bad, what is missing comes from the other relays; look at the disk"};
 }
 
-Segments::Segments(std::unique_ptr<Files> files, std::string where, const Limits& limits, Taker taker)
+Segments::Segments(std::unique_ptr<FileSystem> files, std::string where, const Limits& limits,
+                   RecoveryCallbacks taker)
     : files_(std::move(files)), where_(std::move(where)), limits_(limits), taker_(std::move(taker)) {
   limits_.segment_bytes = std::clamp(limits_.segment_bytes, std::size_t{4096},
                                      std::max(std::size_t{4096}, limits_.disk_bytes / 8));
@@ -250,7 +254,7 @@
       // Guards against a torn tail: what it would have told had not happened yet.
       bool last = found == Found::cut || at + head_bytes + payload.size() == bytes.size();
       if (at > 0 && last && found != Found::whole && bytes.size() - at <= manifest_frame_most) {
-        if (!files_->cut(manifest_name, at)) manifest_broken_ = true;
+        if (!files_->truncate(manifest_name, at)) manifest_broken_ = true;
         break;
       }
       try {
@@ -267,7 +271,7 @@
           throw std::runtime_error("it is of a later version");
         }
       } catch (const std::exception& error) {
-        taker_.bad(bad(manifest_name, at, error.what()));
+        taker_.on_damaged_file(bad(manifest_name, at, error.what()));
         files_->rename(manifest_name, std::string(manifest_name) + ".bad"), over_.clear();
         whole = false;
         break;
@@ -325,7 +329,7 @@
     return;
   }
   // Guards against a record half written, behind which no later one would be found again.
-  if (!files_->cut(manifest_name, manifest_size_)) manifest_broken_ = true;
+  if (!files_->truncate(manifest_name, manifest_size_)) manifest_broken_ = true;
   no_room("the manifest cannot be added to");
 }
 
@@ -335,7 +339,7 @@
   bool open = std::ranges::any_of(heads_, [&](const auto& head) { return head.second.id == id; });
   if (!size) {
     // Listed before it is made: a head may not be there yet.
-    if (!open) taker_.bad(bad(name, 0, "a segment that the manifest lists is not there"));
+    if (!open) taker_.on_damaged_file(bad(name, 0, "a segment that the manifest lists is not there"));
     std::erase_if(heads_, [&](const auto& head) { return head.second.id == id; });
     return drop(id);
   }
@@ -348,19 +352,19 @@
     bool last = found != Found::cut && at + head_bytes + payload.size() == bytes.size();
     if (found == Found::cut || (found == Found::damaged && last)) {
       // Guards against a torn tail: the append that it is of had not returned.
-      if (open && !damaged && files_->cut(name, at)) bytes.resize(at);
-      else taker_.bad(bad(name, at, "a segment ends within a record")), damaged = true;
+      if (open && !damaged && files_->truncate(name, at)) bytes.resize(at);
+      else taker_.on_damaged_file(bad(name, at, "a segment ends within a record")), damaged = true;
       break;
     }
     if (found == Found::damaged) {
-      taker_.bad(bad(name, at, "a record's check sum does not fit")), damaged = true;
+      taker_.on_damaged_file(bad(name, at, "a record's check sum does not fit")), damaged = true;
     } else if (at == 0) {
       Head_ head;
       try {
         head = unpacked<Head_>(payload.substr(1));
       } catch (const std::exception&) {}
       if (payload[0] != 'H' || head.form != form || head.stream != segment.stream) {
-        taker_.bad(bad(name, 0, "a segment of another form or stream"));
+        taker_.on_damaged_file(bad(name, 0, "a segment of another form or stream"));
         damaged = true, readable = false;
         break;
       }
@@ -373,7 +377,7 @@
     return;
   }
   segment.size = bytes.size(), segments_[id] = segment, bytes_ += segment.size;
-  taker_.segment(id, segment.stream, !open);
+  taker_.on_segment(id, segment.stream, !open);
   take(id, bytes);
 }
 
@@ -383,12 +387,13 @@
     auto found = frame_at(bytes, at, payload);
     if (found == Found::cut) return;
     if (found == Found::damaged) continue;
-    Place place{id, static_cast<std::uint32_t>(at), static_cast<std::uint32_t>(head_bytes + payload.size())};
+    LogLocation place{id, static_cast<std::uint32_t>(at),
+                      static_cast<std::uint32_t>(head_bytes + payload.size())};
     try {
-      if (payload[0] == 'R') taker_.record(unpacked<Record>(payload.substr(1)), place);
-      else if (payload[0] == 'M') taker_.mark(unpacked<Mark>(payload.substr(1)), place);
+      if (payload[0] == 'R') taker_.on_record(unpacked<Record>(payload.substr(1)), place);
+      else if (payload[0] == 'M') taker_.on_delivery_state(unpacked<DeliveryState>(payload.substr(1)), place);
     } catch (const std::exception& error) {
-      taker_.bad(
+      taker_.on_damaged_file(
           BadStateFile(error.what(), where_ + "/" + name_of(id) + " at byte " + std::to_string(at),
                        "the record is passed over; have all processes run versions that know each other"));
     }
@@ -400,7 +405,7 @@
 void Segments::save(SegmentId id) {
   const auto& [bytes, readable] = damaged_.at(id);
   auto stream = segments_[id].stream;
-  std::vector<std::pair<std::variant<Record, Mark>, Place>> saved;
+  std::vector<std::pair<std::variant<Record, DeliveryState>, LogLocation>> saved;
   std::string_view payload;
   try {
     for (std::size_t at = 0; readable && at < bytes.size(); at += head_bytes + payload.size()) {
@@ -414,7 +419,7 @@
           auto place = put(stream, true, frame, 0);
           saved.push_back({std::move(record), place});
         } else if (payload[0] == 'M') {
-          auto mark = unpacked<Mark>(payload.substr(1));
+          auto mark = unpacked<DeliveryState>(payload.substr(1));
           auto place = put(stream, true, frame, 0);
           saved.push_back({std::move(mark), place});
         }
@@ -430,22 +435,22 @@
   } catch (const StorageUnavailable&) {
     // Then it stays where it is, and is read from there.
     segments_[id].size = bytes.size(), bytes_ += bytes.size();
-    taker_.segment(id, stream, true);
+    taker_.on_segment(id, stream, true);
     if (readable) take(id, bytes);
   }
   for (const auto& [one, place] : saved)
-    if (auto record = std::get_if<Record>(&one)) taker_.record(*record, place);
-    else taker_.mark(std::get<Mark>(one), place);
+    if (auto record = std::get_if<Record>(&one)) taker_.on_record(*record, place);
+    else taker_.on_delivery_state(std::get<DeliveryState>(one), place);
 }
 
 void Segments::add(const std::string& name, std::string_view bytes, std::size_t size) {
   if (files_->append(name, bytes) == bytes.size()) return;
   // Guards against a record half written on a full disk: it is cut off, or nothing more goes into this file.
-  if (!files_->cut(name, size))
+  if (!files_->truncate(name, size))
     for (auto head = heads_.begin(); head != heads_.end();) {
       auto [stream, cold] = head->first;
       if (name_of(head->second.id) == name) {
-        taker_.segment(head->second.id, stream, true), head = heads_.erase(head);
+        taker_.on_segment(head->second.id, stream, true), head = heads_.erase(head);
       } else {
         ++head;
       }
@@ -459,7 +464,7 @@
   add_to_manifest('A', id, stream, cold);
   segments_[id] = {stream, cold, 0};
   heads_[{stream, cold}] = {id, 0};
-  taker_.segment(id, stream, false);
+  taker_.on_segment(id, stream, false);
   return heads_[{stream, cold}];
 }
 
@@ -467,12 +472,12 @@
   auto found = heads_.find({stream, cold});
   if (found == heads_.end()) return;
   files_->sync(name_of(found->second.id));
-  taker_.segment(found->second.id, stream, true);
+  taker_.on_segment(found->second.id, stream, true);
   heads_.erase(found);
 }
 
 // room: bytes that stay free for what may not be refused.
-Place Segments::put(StreamId stream, bool cold, std::string_view frame, std::size_t room) {
+LogLocation Segments::put(StreamId stream, bool cold, std::string_view frame, std::size_t room) {
   if (bytes_ + frame.size() + room > limits_.disk_bytes)
     no_room(std::to_string(bytes_) + " of " + std::to_string(limits_.disk_bytes) + " bytes are taken");
   if (auto found = heads_.find({stream, cold}); found != heads_.end() &&
@@ -486,21 +491,22 @@
     add(name_of(id), first, 0);
     head.size = first.size(), segments_[id].size += first.size(), bytes_ += first.size();
   }
-  Place place{id, static_cast<std::uint32_t>(head.size), static_cast<std::uint32_t>(frame.size())};
+  LogLocation place{id, static_cast<std::uint32_t>(head.size), static_cast<std::uint32_t>(frame.size())};
   add(name_of(id), frame, head.size);
   head.size += frame.size(), segments_[id].size += frame.size();
   bytes_ += frame.size(), appended_ += frame.size();
   return place;
 }
 
-Place Segments::append(const Record& record) {
+LogLocation Segments::append(const Record& record) {
   return put(record.stream, false, framed('R', packed(record)), kept_from_records * limits_.segment_bytes);
 }
-Place Segments::append(const Mark& mark) {
-  return put(mark.lane.stream, false, framed('M', packed(mark)), kept_from_marks * limits_.segment_bytes);
+LogLocation Segments::append(const DeliveryState& mark) {
+  return put(mark.subscription.stream, false, framed('M', packed(mark)),
+             kept_from_marks * limits_.segment_bytes);
 }
 
-Record Segments::read(const Place& place) {
+Record Segments::read(const LogLocation& place) {
   if (auto found = cached_.find(place); found != cached_.end()) {
     cache_.splice(cache_.begin(), cache_, found->second);
     return unpacked<Record>(std::string_view(cache_.front().second).substr(head_bytes + 1));
@@ -521,7 +527,7 @@
   return record;
 }
 
-void Segments::set_aside(const Record& record) {
+void Segments::save_conflicting_record(const Record& record) {
   if (files_->size(aside_name).value_or(0) < aside_most)
     files_->append(aside_name, framed('R', packed(record)));
 }
@@ -536,9 +542,10 @@
   segments_.erase(found);
 }
 
-Segments::Compacted Segments::copy_on(SegmentId old, std::size_t bytes,
-                                      const std::function<bool(const Entry&, const Place&)>& keeps_record,
-                                      const std::function<bool(const Mark&, SegmentId)>& keeps_mark) {
+Segments::CompactionStep Segments::compact_step(
+    SegmentId old, std::size_t bytes,
+    const std::function<bool(const RecordHeader&, const LogLocation&)>& keeps_record,
+    const std::function<bool(const DeliveryState&, SegmentId)>& keeps_mark) {
   if (!copying_ || copying_->old != old) copying_ = Copying{old, 0, {}};
   Copying& copying = *copying_;
   auto& result = copying.result;
@@ -547,7 +554,7 @@
     // What was copied stands twice, which does no harm; the next attempt begins anew.
     auto moved = std::move(result.moved);
     copying_.reset();
-    return Compacted{Progress::failed, std::move(moved), {}};
+    return CompactionStep{Progress::failed, std::move(moved), {}};
   };
   if (found == segments_.end()) return failed();
   auto stream = found->second.stream;
@@ -561,23 +568,23 @@
     std::size_t at = 0;
     while (at < slice.size() && at < bytes) {
       if (frame_at(slice, at, payload) != Found::whole) return failed();
-      Place place{old, static_cast<std::uint32_t>(from + at),
-                  static_cast<std::uint32_t>(head_bytes + payload.size())};
+      LogLocation place{old, static_cast<std::uint32_t>(from + at),
+                        static_cast<std::uint32_t>(head_bytes + payload.size())};
       auto frame = std::string_view(slice).substr(at, place.bytes);
       if (payload[0] == 'R') {
         auto record = unpacked<Record>(payload.substr(1));
-        auto entry = entry_of(record);
+        auto entry = header_of(record);
         if (keeps_record(entry, place)) {
           auto to = put(stream, true, frame, 0);
-          result.moved.push_back({{stream, {}}, false, entry.key, entry.stamp, place, to});
+          result.moved.push_back({{stream, {}}, false, entry.key, entry.timestamp, place, to});
         } else {
           result.dropped.push_back({stream, entry.key});
         }
       } else if (payload[0] == 'M') {
-        auto mark = unpacked<Mark>(payload.substr(1));
+        auto mark = unpacked<DeliveryState>(payload.substr(1));
         if (keeps_mark(mark, old)) {
           auto to = put(stream, true, frame, 0);
-          result.moved.push_back({mark.lane, true, mark.key, mark.stamp, place, to});
+          result.moved.push_back({mark.subscription, true, mark.key, mark.timestamp, place, to});
         }
       }
       at += place.bytes;
--- a/src/peer/segments.h
+++ b/src/peer/segments.h
@@ -21,60 +21,63 @@
 namespace rockcrank::peer {
 
 // The file system, as far as segments need it; tests put one in its place that stops between any two steps.
-class Files {
+class FileSystem {
  public:
-  virtual ~Files() = default;
+  virtual ~FileSystem() = default;
   virtual std::vector<std::string> list() = 0;
   virtual std::optional<std::string> read(const std::string& name, std::size_t offset, std::size_t bytes) = 0;
   virtual std::optional<std::size_t> size(const std::string& name) = 0;             // none: no such file
   virtual std::size_t append(const std::string& name, std::string_view bytes) = 0;  // as many as fit
-  virtual bool cut(const std::string& name, std::size_t size) = 0;
+  virtual bool truncate(const std::string& name, std::size_t size) = 0;
   virtual bool sync(const std::string& name) = 0;
   virtual bool rename(const std::string& from, const std::string& to) = 0;
   virtual bool remove(const std::string& name) = 0;
 };
-std::unique_ptr<Files> disk_files(const std::string& folder);  // made, if it is not there
+std::unique_ptr<FileSystem> make_disk_file_system(const std::string& folder);  // made, if it is not there
 
 latest::KeyHash key_hash(std::string_view key);
-latest::Entry entry_of(const latest::Record& record);
+latest::RecordHeader header_of(const latest::Record& record);
 
 class Segments {
  public:
   struct Limits {
     std::size_t segment_bytes = 0, disk_bytes = 0, cache_bytes = 0;
   };
-  struct Taker {
-    std::function<void(latest::SegmentId, latest::StreamId, bool sealed)> segment;
-    std::function<void(const latest::Record&, const latest::Place&)> record;
-    std::function<void(const latest::Mark&, const latest::Place&)> mark;
+  struct RecoveryCallbacks {
+    std::function<void(latest::SegmentId, latest::StreamId, bool sealed)> on_segment;
+    std::function<void(const latest::Record&, const latest::LogLocation&)> on_record;
+    std::function<void(const latest::DeliveryState&, const latest::LogLocation&)> on_delivery_state;
     // A file that is damaged, foreign or of the future: it is set aside, with what could be read saved first.
-    std::function<void(const fleet::BadStateFile&)> bad;
+    std::function<void(const fleet::BadStateFile&)> on_damaged_file;
   };
 
   // Reads all. Throws NoRoom where not even the manifest can be written.
-  Segments(std::unique_ptr<Files> files, std::string where, const Limits& limits, Taker taker);
+  Segments(std::unique_ptr<FileSystem> files, std::string where, const Limits& limits,
+           RecoveryCallbacks taker);
 
   // Throw NoRoom, and nothing has changed. When one returns, what was appended outlives the process.
-  latest::Place append(const latest::Record& record);
-  latest::Place append(const latest::Mark& mark);
+  latest::LogLocation append(const latest::Record& record);
+  latest::LogLocation append(const latest::DeliveryState& mark);
   // Throws BadStateFile where the record cannot be read.
-  latest::Record read(const latest::Place& place);
-  void set_aside(const latest::Record& record);  // of two that differ, the one that does not count
+  latest::Record read(const latest::LogLocation& place);
+  void save_conflicting_record(
+      const latest::Record& record);  // of two that differ, the one that does not count
 
   // A compaction, a bounded number of bytes at a time. done: moved and dropped tell all, and the old
   // one is gone; failed: moved tells what stands twice.
-  enum class Progress { going, done, failed };
-  struct Compacted {
-    Progress progress = Progress::going;
-    std::vector<latest::Latest::Moved> moved;
-    std::vector<latest::Latest::Dropped> dropped;
+  enum class Progress { in_progress, done, failed };
+  struct CompactionStep {
+    Progress progress = Progress::in_progress;
+    std::vector<latest::CompactedLog::Moved> moved;
+    std::vector<latest::CompactedLog::DroppedRecord> dropped;
   };
-  Compacted copy_on(latest::SegmentId old, std::size_t bytes,
-                    const std::function<bool(const latest::Entry&, const latest::Place&)>& keeps_record,
-                    const std::function<bool(const latest::Mark&, latest::SegmentId)>& keeps_mark);
+  CompactionStep compact_step(
+      latest::SegmentId old, std::size_t bytes,
+      const std::function<bool(const latest::RecordHeader&, const latest::LogLocation&)>& keeps_record,
+      const std::function<bool(const latest::DeliveryState&, latest::SegmentId)>& keeps_mark);
 
-  std::size_t bytes() const { return bytes_; }
-  std::uint64_t appended() const { return appended_; }
+  std::size_t disk_bytes() const { return bytes_; }
+  std::uint64_t appended_bytes() const { return appended_; }
 
  private:
   struct Head {  // what is appended to: fresh records, or those that compactions keep
@@ -89,7 +92,7 @@
   struct Copying {
     latest::SegmentId old{};
     std::size_t offset = 0;
-    Compacted result;
+    CompactionStep result;
   };
   static std::string name_of(latest::SegmentId id);
   void read_manifest();
@@ -101,16 +104,16 @@
   void keep_reserve();
   Head& head(latest::StreamId stream, bool cold);
   void seal(latest::StreamId stream, bool cold);
-  latest::Place put(latest::StreamId stream, bool cold, std::string_view payload, std::size_t room);
+  latest::LogLocation put(latest::StreamId stream, bool cold, std::string_view payload, std::size_t room);
   void add(const std::string& name, std::string_view bytes, std::size_t size);
   void drop(latest::SegmentId id);
   [[noreturn]] void no_room(const std::string& what) const;
   fleet::BadStateFile bad(const std::string& name, std::size_t at, const std::string& what) const;
 
-  const std::unique_ptr<Files> files_;
+  const std::unique_ptr<FileSystem> files_;
   const std::string where_;
   Limits limits_;
-  Taker taker_;
+  RecoveryCallbacks taker_;
   std::map<latest::SegmentId, Segment> segments_;
   std::map<std::pair<latest::StreamId, bool>, Head> heads_;  // true: of compactions
   std::set<latest::SegmentId> over_;                         // not unlinked yet
@@ -121,8 +124,8 @@
   std::map<latest::SegmentId, std::pair<std::string, bool>> damaged_;  // while all is read: bytes, readable
   std::optional<Copying> copying_;
   // The records read last, by their places.
-  std::list<std::pair<latest::Place, std::string>> cache_;
-  std::map<latest::Place, std::list<std::pair<latest::Place, std::string>>::iterator> cached_;
+  std::list<std::pair<latest::LogLocation, std::string>> cache_;
+  std::map<latest::LogLocation, std::list<std::pair<latest::LogLocation, std::string>>::iterator> cached_;
   std::size_t cache_bytes_ = 0;
 };
 
--- a/src/peer/share.cpp
+++ b/src/peer/shared_state.cpp
@@ -23,45 +23,45 @@
 constexpr Millis keep_binding = 50, keep_rest = 5000;
 constexpr Millis worth_saying = 100;  // by so much longer must a wait be for a line in the log
 
-class Share : public Part {
+class Share : public FleetComponent {
  public:
-  explicit Share(const PartPlace& place)
-      : around_(place.around),
+  explicit Share(const ComponentContext& place)
+      : around_(place.relay),
         place_(place),
-        registers_(fleet::Registers::make(place.fleet.self, place.own,
-                                          static_cast<int>(place.fleet.roster.size()), place.seed)),
-        file_(place.folder + "/state", place.fleet.fleet, place.fleet.self),
-        due_(place.around.loop, [this] { turn(); }),
-        keep_due_(place.around.loop, [this] { keep(); }) {
+        registers_(fleet::Registers::make(place.config.self, place.incarnation,
+                                          static_cast<int>(place.config.roster.size()), place.seed)),
+        file_(place.folder + "/state", place.config.fleet_name, place.config.self),
+        due_(place.relay.loop, [this] { turn(); }),
+        keep_due_(place.relay.loop, [this] { keep(); }) {
     // Warming waits for it: a connection ahead must not go where others know better.
-    place_.offers->state_known = [this] { return registers_->caught_up(); };
+    place_.hooks->is_state_caught_up = [this] { return registers_->caught_up(); };
   }
-  ~Share() override { place_.offers->state_known = nullptr; }
+  ~Share() override { place_.hooks->is_state_caught_up = nullptr; }
 
   void start() override {
     begin();
     tell_living();
     std::string why;
-    auto kept = file_.read(moment_now(), why);
+    auto kept = file_.read(read_clocks(), why);
     if (!why.empty()) log_line("share: %s", why.c_str());
     if (kept) restore(*kept);
     turn();
   }
 
-  void heard(MemberId from, std::string_view payload) override {
+  void on_message(MemberId from, std::string_view payload) override {
     auto message = unpacked<fleet::RegisterMessage>(payload);
     begin();
     registers_->on_message(from, message);
     due_.set(around_.loop.now());
   }
 
-  void linked(MemberId peer, fleet::Incarnation, bool up) override {
+  void on_link_change(MemberId peer, fleet::Incarnation, bool up) override {
     begin();
     registers_->on_link_change(peer, up);
     due_.set(around_.loop.now());
   }
 
-  void member(MemberId, fleet::Incarnation, fleet::MemberState) override {
+  void on_member_change(MemberId, fleet::Incarnation, fleet::MemberState) override {
     begin();
     tell_living();
     due_.set(around_.loop.now());
@@ -72,7 +72,7 @@
     auto news = around_.decision.route_statuses(false);
     if (news.empty()) return;
     begin();
-    Millis ago = around_.loop.now() - around_.turn_began();
+    Millis ago = around_.loop.now() - around_.turn_start();
     for (auto& known : news) {
       if (known.retry_after_left > 0) binds_ = true, known.retry_after_left -= ago;
       binds_ |= known.state != RouteState::healthy;
@@ -83,7 +83,7 @@
     turn();
   }
 
-  void told_out(const std::string& endpoint, bool out) override {
+  void set_offline(const std::string& endpoint, bool out) override {
     begin();
     orders_.erase(endpoint);
     registers_->publish_offline(endpoint, out);
@@ -93,7 +93,7 @@
 
   void leave() override { keep(); }
 
-  std::string figures() const override {
+  std::string summary() const override {
     char text[160];
     std::snprintf(text, sizeof text,
                   "share: %zu entries, %llu words learned, %llu messages and %llu bytes sent%s",
@@ -107,10 +107,10 @@
   void begin() { registers_->begin_turn(around_.loop.now()); }
   void tell_living() { registers_->set_alive(place_.membership.alive()); }
 
-  void restore(const StateFile::Kept& kept) {
+  void restore(const StateFile::LoadedState& kept) {
     try {
-      registers_->restore(kept.words, kept.gone_for);
-      log_line("share: %zu entries known from before, %.0f ms ago", kept.words.size(), kept.gone_for);
+      registers_->restore(kept.records, kept.elapsed);
+      log_line("share: %zu entries known from before, %.0f ms ago", kept.records.size(), kept.elapsed);
     } catch (const fleet::FleetError& error) { log_line("share: %s", error.what()); }
   }
 
@@ -128,19 +128,19 @@
           "see whether two processes run as one member; both words are kept, one counts");
       log_line("share: %s", error.what());
     }
-    if (!decided.route_reports.empty()) learn(decided.route_reports);
+    if (!decided.route_statuses.empty()) learn(decided.route_statuses);
     for (const auto& order : decided.offline_orders)
       orders_.erase(order.endpoint), take_out(order.endpoint, order.offline);
     for (const auto& [endpoint, out] : std::map(orders_)) take_out(endpoint, out);
     if (decided.wake_in >= 0) due_.set(around_.loop.now() + decided.wake_in);
     else due_.clear();
-    keep_soon(!decided.route_reports.empty() || !decided.offline_orders.empty());
+    keep_soon(!decided.route_statuses.empty() || !decided.offline_orders.empty());
   }
 
   // The decision module counts from the moment at which its turn began.
   void learn(std::vector<RouteStatus>& learned) {
-    around_.begin();
-    Millis ago = around_.loop.now() - around_.turn_began();
+    around_.begin_turn();
+    Millis ago = around_.loop.now() - around_.turn_start();
     for (auto& known : learned) {
       if (known.retry_after_left > 0) known.retry_after_left += ago;
       known.state_age = std::max(0.0, known.state_age - ago),
@@ -168,7 +168,7 @@
   void take_out(const std::string& endpoint, bool out) {
     if (around_.store.offline_endpoints().count(endpoint) == (out ? 1u : 0u))
       return void(orders_.erase(endpoint));
-    around_.take_out(endpoint, out);
+    around_.set_endpoint_offline(endpoint, out);
     if (around_.store.offline_endpoints().count(endpoint) != (out ? 1u : 0u)) {
       if (orders_.insert_or_assign(endpoint, out).second)
         log_line("share: the order to %s %.60s cannot be noted yet", out ? "take out" : "put back",
@@ -195,15 +195,15 @@
     keep_due_.clear(), keep_set_ = false;
     kept_at_ = around_.loop.now();
     std::string why;
-    bool kept = file_.write(registers_->records_to_persist(state_words), moment_now(), why);
+    bool kept = file_.write(registers_->records_to_persist(max_state_records), read_clocks(), why);
     if (!kept && !std::exchange(failing_, true)) log_line("share: %s", why.c_str());
     if (kept && std::exchange(failing_, false)) log_line("share: what the relay knows is kept again");
     if (kept) changed_ = binds_ = false;
     else keep_at_ = kept_at_ + keep_rest, keep_set_ = true, keep_due_.set(keep_at_);
   }
 
-  Around& around_;
-  const PartPlace& place_;
+  RelayContext& around_;
+  const ComponentContext& place_;
   const std::unique_ptr<fleet::Registers> registers_;
   StateFile file_;
   Timer due_, keep_due_;
@@ -216,8 +216,8 @@
 
 }  // namespace
 
-std::unique_ptr<Part> make_share(const PartPlace& place) {
-  return place.fleet.share ? std::make_unique<Share>(place) : nullptr;
+std::unique_ptr<FleetComponent> make_shared_state(const ComponentContext& place) {
+  return place.config.shared_state_enabled ? std::make_unique<Share>(place) : nullptr;
 }
 
 }  // namespace rockcrank::peer
--- a/src/peer/state_file.cpp
+++ b/src/peer/state_file.cpp
@@ -39,7 +39,7 @@
 struct Image {
   std::string fleet;
   fleet::MemberId member{};
-  Moment written;
+  ClockReading written;
   std::vector<fleet::RegisterRecord> words;
   auto fields() { return std::tie(fleet, member, written, words); }
 };
@@ -59,14 +59,14 @@
 
 }  // namespace
 
-Moment moment_now() {
-  Moment now;
-  std::ifstream("/proc/sys/kernel/random/boot_id") >> now.boot;
+ClockReading read_clocks() {
+  ClockReading now;
+  std::ifstream("/proc/sys/kernel/random/boot_id") >> now.boot_id;
   timespec time{};
   if (::clock_gettime(CLOCK_BOOTTIME, &time) == 0)
     now.since_boot = static_cast<double>(time.tv_sec) * 1e3 + static_cast<double>(time.tv_nsec) / 1e6;
-  else now.boot.clear();
-  now.wall =
+  else now.boot_id.clear();
+  now.wall_time =
       std::chrono::duration<double, std::milli>(std::chrono::system_clock::now().time_since_epoch()).count();
   return now;
 }
@@ -74,13 +74,13 @@
 StateFile::StateFile(std::string path, std::string fleet, fleet::MemberId member)
     : path_(std::move(path)), fleet_(std::move(fleet)), member_(member) {}
 
-std::optional<StateFile::Kept> StateFile::read(const Moment& now, std::string& why) {
+std::optional<StateFile::LoadedState> StateFile::read(const ClockReading& now, std::string& why) {
   why.clear();
   std::error_code none;
   if (!std::filesystem::exists(std::filesystem::symlink_status(path_, none))) return std::nullopt;
   try {
     std::ifstream file(path_, std::ios::binary);
-    std::string bytes(state_file_bytes + 1, '\0');
+    std::string bytes(max_state_file_bytes + 1, '\0');
     file.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
     if (file.bad() || (!file.eof() && file.gcount() == 0))
       throw BadStateFile("the state file cannot be read", path_,
@@ -98,12 +98,12 @@
   return "it is set aside and the relay learns anew of destinations; what it owes is not concerned";
 }
 
-StateFile::Kept StateFile::take(const std::string& bytes, const Moment& now) const {
+StateFile::LoadedState StateFile::take(const std::string& bytes, const ClockReading& now) const {
   auto bad = [&](const std::string& what, std::size_t at) -> BadStateFile {
     return {what, path_ + ", byte " + std::to_string(at), remedy()};
   };
   auto head = mark.size() + form.size();
-  if (bytes.size() > state_file_bytes) throw bad("the state file is too large", state_file_bytes);
+  if (bytes.size() > max_state_file_bytes) throw bad("the state file is too large", max_state_file_bytes);
   if (bytes.compare(0, mark.size(), mark) != 0)
     throw bad(bytes.size() < head ? "the state file is cut off" : "this is no state file", 0);
   if (bytes.compare(mark.size(), form.size(), form) != 0)
@@ -124,9 +124,9 @@
     throw bad("the state file is of another fleet, " + image.fleet.substr(0, 64), head + sum_bytes);
   if (image.member != member_) throw bad("the state file is of another member", head + sum_bytes);
 
-  const Moment& then = image.written;
-  bool same_boot = !now.boot.empty() && now.boot == then.boot;
-  Millis gone_for = same_boot ? now.since_boot - then.since_boot : now.wall - then.wall;
+  const ClockReading& then = image.written;
+  bool same_boot = !now.boot_id.empty() && now.boot_id == then.boot_id;
+  Millis gone_for = same_boot ? now.since_boot - then.since_boot : now.wall_time - then.wall_time;
   // Guards against a clock that was set back, or a file of a machine whose clock is ahead: how long its waits
   // still hold, nobody can tell.
   if (!(gone_for >= (same_boot ? 0 : -clock_step)))
@@ -144,21 +144,22 @@
   auto name = [&](int number) { return path_ + "." + std::to_string(number) + ".aside"; };
   std::error_code none;
   if (std::filesystem::is_regular_file(path_, none) &&
-      std::filesystem::file_size(path_, none) > state_file_bytes)
-    std::filesystem::resize_file(path_, state_file_bytes, none);
-  std::filesystem::remove_all(name(state_files_aside), none);
-  for (int number = state_files_aside; number > 1; --number)
+      std::filesystem::file_size(path_, none) > max_state_file_bytes)
+    std::filesystem::resize_file(path_, max_state_file_bytes, none);
+  std::filesystem::remove_all(name(max_quarantined_state_files), none);
+  for (int number = max_quarantined_state_files; number > 1; --number)
     std::filesystem::rename(name(number - 1), name(number), none);
   std::filesystem::rename(path_, name(1), none);
 }
 
-bool StateFile::write(const std::vector<fleet::RegisterRecord>& words, const Moment& now, std::string& why) {
+bool StateFile::write(const std::vector<fleet::RegisterRecord>& words, const ClockReading& now,
+                      std::string& why) {
   why.clear();
   Image image{fleet_, member_, now, {}};
   std::size_t bytes = packed(image).size() + mark.size() + form.size() + sum_bytes + 8;
   for (const auto& word : words) {
     auto size = packed(word).size();
-    if (bytes + size > state_file_bytes) break;
+    if (bytes + size > max_state_file_bytes) break;
     bytes += size, image.words.push_back(word);
   }
   auto rest = packed(image);
--- a/src/peer/warm.cpp
+++ b/src/peer/warmup.cpp
@@ -3,8 +3,6 @@
 // may go up and only to endpoints that this relay's own list has. It must never decide itself, nor open
 // before documents go.
 
-#include "warm/warm.h"
-
 #include <optional>
 #include <tuple>
 #include <utility>
@@ -12,59 +10,64 @@
 #include "peer/codec.h"
 #include "peer/fleet.h"
 #include "relay/log.h"
+#include "warm/warm.h"
 
 namespace rockcrank::peer {
 namespace {
 
-using warm::Sort;
+using warm::ItemKind;
 using warm::Warmer;
 
-class WarmPart final : public Part {
+class WarmPart final : public FleetComponent {
  public:
-  explicit WarmPart(const PartPlace& place)
-      : around_(place.around),
-        fleet_(place.fleet),
+  explicit WarmPart(const ComponentContext& place)
+      : around_(place.relay),
+        fleet_(place.config),
         membership_(place.membership),
         link_(place.link),
-        offers_(place.offers),
+        offers_(place.hooks),
         seed_(place.seed),
-        due_(place.around.loop, [this] { settle(); }) {
+        due_(place.relay.loop, [this] { settle(); }) {
     around_.endpoints.on_preconnect = [this](EndpointId endpoint, Endpoints::PreconnectEvent what) {
-      using Fate = Warmer::Fate;
-      constexpr Fate fates[] = {Fate::up, Fate::used, Fate::failed, Fate::unused};
-      mind().fate(endpoint, fates[static_cast<int>(what)]);
+      using Fate = Warmer::ConnectionEvent;
+      constexpr Fate fates[] = {Fate::connected, Fate::used, Fate::failed, Fate::unused};
+      mind().on_connection_event(endpoint, fates[static_cast<int>(what)]);
+    };
+    offers_->on_key_delivered = [this](std::uint64_t key, Millis took) {
+      mind().record_use(ItemKind::key, key, took);
     };
-    offers_->delivered = [this](std::uint64_t key, Millis took) { mind().used(Sort::key, key, took); };
   }
-  ~WarmPart() override { around_.endpoints.on_preconnect = nullptr, offers_->delivered = nullptr; }
+  ~WarmPart() override { around_.endpoints.on_preconnect = nullptr, offers_->on_key_delivered = nullptr; }
 
   void start() override { mind(); }
-  void heard(fleet::MemberId from, std::string_view payload) override {
-    mind().heard(from, unpacked<warm::WarmMessage>(payload));
+  void on_message(fleet::MemberId from, std::string_view payload) override {
+    mind().on_message(from, unpacked<warm::WarmupMessage>(payload));
+  }
+  void on_link_change(fleet::MemberId peer, fleet::Incarnation, bool up) override {
+    mind().on_link_change(peer, up);
   }
-  void linked(fleet::MemberId peer, fleet::Incarnation, bool up) override { mind().linked(peer, up); }
-  void member(fleet::MemberId, fleet::Incarnation, fleet::MemberState) override {
-    mind().alive(membership_.alive());
+  void on_member_change(fleet::MemberId, fleet::Incarnation, fleet::MemberState) override {
+    mind().set_alive(membership_.alive());
   }
-  void given_up_on() override { mind().stalled(); }
-  void outcome(const Outcome& outcome) override {
+  void on_declared_dead() override { mind().on_stall(); }
+  void on_outcome(const Outcome& outcome) override {
     if (outcome.result == TransmissionResult::not_connected || outcome.result == TransmissionResult::not_sent)
       return;
     // Documents of one call end together: it is one use of its connection.
     auto call = std::tuple(outcome.endpoint, around_.loop.now(), outcome.duration);
     if (std::exchange(last_call_, call) == call) return;
-    mind().used(Sort::endpoint, static_cast<std::uint64_t>(outcome.endpoint), outcome.duration);
+    mind().record_use(ItemKind::endpoint, static_cast<std::uint64_t>(outcome.endpoint), outcome.duration);
   }
   void after_turn(const Actions& decided) override {
     // A turn without documents changes nothing for a warmer that has ended.
-    if (warmer_ && warmer_->over() && !open_) return;
+    if (warmer_ && warmer_->is_finished() && !open_) return;
     went_ = static_cast<int>(decided.transmissions.size());
     mind();
   }
 
-  std::string figures() const override {
+  std::string summary() const override {
     if (!warmer_) return {};
-    auto count = warmer_->count();
+    auto count = warmer_->stats();
     return "warm: opened " + std::to_string(count.opened) + ", used " + std::to_string(count.used) +
            ", failed " + std::to_string(count.failed) + ", unused " + std::to_string(count.unused);
   }
@@ -73,17 +76,18 @@
   // Opens a turn, if none is open.
   Warmer& mind() {
     if (!warmer_) {
-      warm::Budget budget;
-      budget.neighbours = fleet_.warm_neighbours, budget.connections = fleet_.warm_connections;
-      budget.list_most = fleet_.list_most, budget.bytes = fleet_.warm_bytes;
-      budget.within = fleet_.warm_within, budget.idle_life = around_.config.idle_timeout;
+      warm::WarmupBudget budget;
+      budget.max_neighbours = fleet_.warmup_max_neighbours,
+      budget.max_connections = fleet_.warmup_max_connections;
+      budget.max_list_items = fleet_.warmup_max_list_items, budget.max_bytes = fleet_.warmup_max_bytes;
+      budget.time_limit = fleet_.warmup_time_limit, budget.idle_timeout = around_.config.idle_timeout;
       // What was handed over whole has its connections: there is nothing to warm.
       bool cold = around_.endpoints.connections() == 0;
       warmer_ = Warmer::make(fleet_.roster, fleet_.self, budget, cold, seed_);
     }
     if (!std::exchange(open_, true)) {
-      warmer_->begin(around_.loop.now());
-      if (!std::exchange(told_members_, true)) warmer_->alive(membership_.alive());
+      warmer_->begin_turn(around_.loop.now());
+      if (!std::exchange(told_members_, true)) warmer_->set_alive(membership_.alive());
       due_.set(around_.loop.now());
     }
     return *warmer_;
@@ -92,32 +96,36 @@
   void settle() {
     Warmer& warmer = mind();
     int free = around_.config.settings.slots - static_cast<int>(around_.endpoints.calls_in_flight());
-    warmer.documents(std::exchange(went_, 0), free);
-    if (!warmer.over()) warmer.state_known(!offers_->state_known || offers_->state_known());
+    warmer.set_load(std::exchange(went_, 0), free);
+    if (!warmer.is_finished())
+      warmer.set_state_known(!offers_->is_state_caught_up || offers_->is_state_caught_up());
     auto decided = warmer.decide();
     open_ = false, due_.clear();
     for (const auto& line : decided.log) log_line("%s", line.c_str());
     for (const auto& send : decided.sends) link_.send(send.to, Channel::warm, packed(send.message));
-    if (!decided.state_first.empty() && offers_->state_first) offers_->state_first(decided.state_first);
-    for (const auto& ahead : decided.open) open(ahead);
-    for (auto id : decided.load) mind().loaded(offers_->load ? offers_->load(id) : 0);
+    if (!decided.sync_first.empty() && offers_->set_catch_up_order)
+      offers_->set_catch_up_order(decided.sync_first);
+    for (const auto& ahead : decided.preconnects) open(ahead);
+    for (auto id : decided.bodies_to_load)
+      mind().on_body_loaded(offers_->preload_key ? offers_->preload_key(id) : 0);
     if (!open_ && decided.wake_in >= 0) due_.set(around_.loop.now() + decided.wake_in);
   }
 
-  void open(const Warmer::Ahead& ahead) {
+  void open(const Warmer::Preconnect& ahead) {
     int up = around_.endpoints.connections(ahead.endpoint);
     // Guards against a lender that names what this relay's list has not, or has no longer.
-    if (!around_.known.count(ahead.endpoint) || up >= ahead.up_to) return mind().enough(ahead.endpoint);
-    around_.begin();  // the module answers as of now
+    if (!around_.listed_endpoints.count(ahead.endpoint) || up >= ahead.max_connections)
+      return mind().on_preconnect_unneeded(ahead.endpoint);
+    around_.begin_turn();  // the module answers as of now
     bool may = around_.decision.may_preconnect(ahead.endpoint, up);
-    if (!may || !around_.endpoints.preconnect(ahead.endpoint)) mind().may_not(ahead.endpoint);
+    if (!may || !around_.endpoints.preconnect(ahead.endpoint)) mind().on_preconnect_refused(ahead.endpoint);
   }
 
-  Around& around_;
+  RelayContext& around_;
   const FleetConfig& fleet_;
   fleet::Membership& membership_;
   Link& link_;
-  const std::shared_ptr<Offers> offers_;
+  const std::shared_ptr<ComponentHooks> offers_;
   const std::uint64_t seed_;
   Timer due_;
   std::unique_ptr<Warmer> warmer_;
@@ -128,8 +136,8 @@
 
 }  // namespace
 
-std::unique_ptr<Part> make_warm(const PartPlace& place) {
-  if (!place.fleet.warm) return nullptr;
+std::unique_ptr<FleetComponent> make_warmup(const ComponentContext& place) {
+  if (!place.config.warmup_enabled) return nullptr;
   return std::make_unique<WarmPart>(place);
 }
 
--- a/src/relay/config.cpp
+++ b/src/relay/config.cpp
@@ -183,7 +183,7 @@
   return list;
 }
 
-std::map<std::string, RetrySafety> Config::repeats() const {
+std::map<std::string, RetrySafety> Config::retry_safety_by_type() const {
   std::map<std::string, RetrySafety> repeats;
   for (const auto& [name, type] : doc_types) repeats[name] = type.retry_safety;
   return repeats;
--- a/src/relay/config.h
+++ b/src/relay/config.h
@@ -52,7 +52,7 @@
 
   // Throws on a malformed list; a malformed entry is only skipped.
   EndpointListUpdate parse_endpoint_list(const nlohmann::json& answer) const;
-  std::map<std::string, RetrySafety> repeats() const;  // by document type name
+  std::map<std::string, RetrySafety> retry_safety_by_type() const;  // by document type name
 };
 
 // The admin listener's address; throws if none is set.
--- a/src/relay/main.cpp
+++ b/src/relay/main.cpp
@@ -114,7 +114,7 @@
   if (command == "serve") rockcrank::Signals::block_reload();
   try {
     auto config = rockcrank::read_config();
-    if (command == "check") rockcrank::peer::read_fleet(config);
+    if (command == "check") rockcrank::peer::load_fleet_config(config);
     if (command == "check") return std::printf("%s: good\n", config.name.c_str()), 0;
     serve(config, gossip_enabled);
   } catch (const std::exception& error) {
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -56,16 +56,17 @@
 Relay::Relay(Config config, EventLoop& loop, AdminServer* admin, const nlohmann::json& state,
              HandoverPayload* payload, bool gossip_enabled)
     : config_(std::move(config)),
-      fleet_config_(peer::read_fleet(config_)),
+      fleet_config_(peer::load_fleet_config(config_)),
       loop_(loop),
       store_(payload
                  ? Store(config_.state_folder, config_.max_disk_bytes, store_from_handover(state, *payload))
-                 : Store(config_.state_folder, config_.max_disk_bytes - peer::disk_kept(fleet_config_))),
+                 : Store(config_.state_folder,
+                         config_.max_disk_bytes - peer::reserved_disk_bytes(fleet_config_))),
       decision_(Decision::make(config_.settings, config_.seed)),
       clients_(loop_, config_.listen, config_.inherited_socket,
                {config_.max_client_connections, config_.max_idle_clients}),
       endpoints_(loop_, {config_.settings.connect_timeout, config_.idle_timeout,
-                         config_.max_endpoint_connections - peer::descriptors_kept(fleet_config_)}),
+                         config_.max_endpoint_connections - peer::reserved_descriptors(fleet_config_)}),
       watch_(loop_, config_.discovery),
       reports_(loop_, config_.discovery),
       turn_timer_(loop_, [this] { end_turn(); }),
@@ -121,23 +122,24 @@
   if (fleet_config_) start_fleet();
   else route_state_store_.emplace(store_, *decision_);
   if (!fleet_config_ && gossip_enabled && config_.gossip_allowed && !payload)
-    whisper_ = std::make_unique<peer::Whisper>(loop_, *decision_, config_, [this] { begin_turn(); });
+    gossip_socket_ =
+        std::make_unique<peer::RouteGossipSocket>(loop_, *decision_, config_, [this] { begin_turn(); });
 }
 
 void Relay::start_fleet() {
-  around_.emplace(peer::Around{loop_, *decision_, store_, endpoints_, config_, known_endpoints_,
-                               [this] { begin_turn(); }, [this] { return turn_began_; },
-                               [this](DocId doc) { begin_turn(), resume_document(doc); },
-                               [this](DocId doc) { release(doc); },
-                               [this](DocId doc, bool accepted) { answer_pending(doc, accepted); },
-                               [this](const std::string& endpoint, bool offline) {
-                                 if (!store_.set_offline(endpoint, offline)) return;
-                                 begin_turn();
-                                 decision_->set_offline(EndpointId(fnv1a_hash(endpoint)), offline);
-                               }});
-  fleet_ = std::make_unique<peer::Fleet>(*around_, *fleet_config_, config_.state_folder, config_.seed);
+  fleet_context_.emplace(peer::RelayContext{
+      loop_, *decision_, store_, endpoints_, config_, known_endpoints_, [this] { begin_turn(); },
+      [this] { return turn_began_; }, [this](DocId doc) { begin_turn(), resume_document(doc); },
+      [this](DocId doc) { release(doc); },
+      [this](DocId doc, bool accepted) { answer_pending(doc, accepted); },
+      [this](const std::string& endpoint, bool offline) {
+        if (!store_.set_offline(endpoint, offline)) return;
+        begin_turn();
+        decision_->set_offline(EndpointId(fnv1a_hash(endpoint)), offline);
+      }});
+  fleet_ = std::make_unique<peer::Fleet>(*fleet_context_, *fleet_config_, config_.state_folder, config_.seed);
   store_.on_record = [this](char kind, DocId doc, int transmission) {
-    fleet_->noted(kind, doc, transmission);
+    fleet_->on_store_record(kind, doc, transmission);
   };
 }
 
@@ -197,7 +199,7 @@
   }
   store_.flush();
   log_line("%s stopped, %zu documents held", config_.name.c_str(), store_.documents().size());
-  if (fleet_) log_line("fleet: %s", fleet_->figures().c_str());
+  if (fleet_) log_line("fleet: %s", fleet_->summary().c_str());
 }
 
 void Relay::begin_turn() {
@@ -241,7 +243,7 @@
     ended.ended = true;
     decision_->accept(ended);
   }
-  reports_.report(doc, stored.id, stored.rejected, stored.reject_wait);
+  reports_.report(doc, stored.id, stored.rejected, stored.reject_retry_after);
 }
 
 // Resumes the documents of a process that has ended without a handover, as after a restart.
@@ -424,7 +426,7 @@
     else if (never_ran) store_.record_never_ran(outcome.doc, outcome.transmission);
   }
   decision_->outcome(outcome);
-  if (fleet_) fleet_->outcome(outcome);
+  if (fleet_) fleet_->on_outcome(outcome);
 }
 
 void Relay::end_document(DocId doc, bool rejected, Millis wait) {
@@ -444,21 +446,21 @@
   store_.record_ended(doc, rejected, wait);
   // A copy must have recorded the end first, otherwise a relay that takes over could announce a different
   // one.
-  if (fleet_ && !fleet_->may_tell(doc)) return;
+  if (fleet_ && !fleet_->may_report_end(doc)) return;
   reports_.report(doc, store_.documents().at(doc).id, rejected, wait);
 }
 
 void Relay::end_turn() {
   begin_turn();
   if (fleet_) fleet_->before_turn(), end_deferred(), send_deferred();
-  if (whisper_) whisper_->before_turn();
+  if (gossip_socket_) gossip_socket_->before_turn();
   endpoints_.resume_deferred();
   auto actions = decision_->decide();
   turn_open_ = false;
   last_turn_at_ = loop_.now();
   turn_timer_.clear();
   if (fleet_) fleet_->after_turn(actions);
-  if (whisper_) whisper_->after_turn();
+  if (gossip_socket_) gossip_socket_->after_turn();
   for (const auto& line : actions.log) log_line("%s", line.c_str());
   for (const auto& reject : actions.rejected) end_document(reject.doc, true, reject.retry_after);
   for (DocId doc : actions.abandoned) end_document(doc, false, 0);
@@ -572,7 +574,7 @@
   auto found = pending_replies_.find(doc);
   if (found == pending_replies_.end()) return;
   // Every part of the fleet must agree, and the last one to do so triggers the reply.
-  if (accepted && store_.documents().count(doc) && !fleet_->may_answer(doc)) return;
+  if (accepted && store_.documents().count(doc) && !fleet_->may_acknowledge(doc)) return;
   auto reply_to = found->second;
   pending_replies_.erase(found);
   begin_turn();
@@ -663,7 +665,7 @@
     return "it cannot be noted: the folder is full or cannot be written";
   begin_turn();
   decision_->set_offline(endpoint, offline);
-  if (fleet_) fleet_->told_out(name, offline);
+  if (fleet_) fleet_->set_offline(name, offline);
   log_line("endpoint %.60s is %s by staff", name.c_str(), offline ? "taken offline" : "put online");
   return {};
 }
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -13,7 +13,7 @@
 
 #include "decision/decision.h"
 #include "peer/fleet.h"
-#include "peer/whisper.h"
+#include "peer/route_gossip_socket.h"
 #include "relay/admin.h"
 #include "relay/clients.h"
 #include "relay/config.h"
@@ -63,7 +63,7 @@
   void answer_pending(DocId doc, bool accepted);
   void end_deferred();
   bool owns(DocId doc) { return !fleet_ || fleet_->owns(doc); }
-  bool may_send(DocId doc, int transmission) { return owns(doc) && fleet_->may_go(doc, transmission); }
+  bool may_send(DocId doc, int transmission) { return owns(doc) && fleet_->may_send(doc, transmission); }
   void send_deferred();
   void send_or_defer(const std::vector<Transmit>& transmissions);
   void start_fleet();
@@ -93,9 +93,9 @@
   Timer adopt_timer_, metrics_timer_;
   std::string last_logged_metrics_;
 
-  std::optional<peer::Around> around_;
+  std::optional<peer::RelayContext> fleet_context_;
   std::unique_ptr<peer::Fleet> fleet_;
-  std::unique_ptr<peer::Whisper> whisper_;
+  std::unique_ptr<peer::RouteGossipSocket> gossip_socket_;
   // Replies to clients, ends and calls that wait for the fleet's permission.
   struct DeferredEnd {
     bool rejected = false;
--- a/src/relay/store.cpp
+++ b/src/relay/store.cpp
@@ -133,7 +133,7 @@
   document.ended = reader.number<char>() != 0;
   if (with_type) document.type = reader.type(), document.max_transmissions = reader.number<std::int32_t>();
   document.rejected = reader.number<char>() != 0;
-  document.reject_wait = reader.number<double>();
+  document.reject_retry_after = reader.number<double>();
   return document;
 }
 
@@ -344,7 +344,7 @@
   append_number(payload, static_cast<char>(document.ended));
   append_type(payload, document.type);
   append_number(payload, static_cast<std::int32_t>(document.max_transmissions));
-  append_end(payload, document.rejected, document.reject_wait);
+  append_end(payload, document.rejected, document.reject_retry_after);
   return payload;
 }
 
@@ -586,7 +586,7 @@
     std::erase_if(document.in_doubt, [&](const auto& sent) { return sent.number == transmission; });
   } else if (kind == ended_kind) {
     document.ended = true, document.rejected = reader.number<char>() != 0;
-    document.reject_wait = reader.number<double>();
+    document.reject_retry_after = reader.number<double>();
     document.body.clear();
   } else if (kind == removed_kind) {
     live_bytes_ -= document.record_bytes;
--- a/src/relay/store.h
+++ b/src/relay/store.h
@@ -34,7 +34,7 @@
   std::vector<Transmission> in_doubt;  // transmissions that are under way or may have run
   bool ended = false;                  // rejected or abandoned, and the notice is not acknowledged yet
   bool rejected = false;
-  Millis reject_wait = 0;
+  Millis reject_retry_after = 0;
   std::string fleet_id;          // the fleet's id of the document, opaque here; empty: not known to the fleet
   std::size_t record_bytes = 0;  // size of its records, counted from the moment it is added
   bool journaled = false;        // its document record is written, or queued for the next flush
--- a/src/warm/merge.cpp
+++ b/src/warm/merge.cpp
@@ -28,34 +28,36 @@
   return 0;
 }
 
-double uses_of(const WarmMessage& message, Sort sort) {
-  return sort == Sort::endpoint ? message.endpoint_uses : message.key_uses;
+double uses_of(const WarmupMessage& message, ItemKind sort) {
+  return sort == ItemKind::endpoint ? message.endpoint_rate : message.key_rate;
 }
 
 // The uses behind a list.
-double behind(const WarmMessage& message, Sort sort) {
-  return uses_of(message, sort) * std::min(message.serving, list_span) / 1000;
+double behind(const WarmupMessage& message, ItemKind sort) {
+  return uses_of(message, sort) * std::min(message.serving_time, sketch_time_constant) / 1000;
 }
 
 }  // namespace
 
 // Guards against lists of a relay that is cold itself, or idle: few uses are behind them.
-bool has_voice(const WarmMessage& message, Sort sort) { return behind(message, sort) >= voice_uses; }
+bool is_eligible(const WarmupMessage& message, ItemKind sort) {
+  return behind(message, sort) >= min_uses_behind_list;
+}
 
-std::string unbelievable(const WarmMessage& message, std::size_t list_most) {
+std::string validation_error(const WarmupMessage& message, std::size_t list_most) {
   auto figure = [](double value) { return std::isfinite(value) && value >= 0; };
-  if (!figure(message.serving) || !figure(message.endpoint_uses) || !figure(message.key_uses))
+  if (!figure(message.serving_time) || !figure(message.endpoint_rate) || !figure(message.key_rate))
     return "a total is no figure";
-  if (message.list.size() > list_most) return "the list is too long";
-  std::set<std::pair<Sort, std::uint64_t>> seen;
-  std::map<Sort, double> sums;
-  for (const auto& one : message.list) {
-    if (one.sort != Sort::endpoint && one.sort != Sort::key) return "a thing of no kind";
-    if (!figure(one.uses) || !figure(one.most_over) || one.most_over > one.uses || !figure(one.took) ||
-        one.took > longest_use)
+  if (message.items.size() > list_most) return "the list is too long";
+  std::set<std::pair<ItemKind, std::uint64_t>> seen;
+  std::map<ItemKind, double> sums;
+  for (const auto& one : message.items) {
+    if (one.kind != ItemKind::endpoint && one.kind != ItemKind::key) return "a thing of no kind";
+    if (!figure(one.rate) || !figure(one.max_overestimate) || one.max_overestimate > one.rate ||
+        !figure(one.mean_duration) || one.mean_duration > longest_use)
       return "an entry is no figure";
-    if (!seen.emplace(one.sort, one.id).second) return "an entry comes twice";
-    sums[one.sort] += one.uses - one.most_over;
+    if (!seen.emplace(one.kind, one.id).second) return "an entry comes twice";
+    sums[one.kind] += one.rate - one.max_overestimate;
   }
   // Sure uses of parts cannot be more than those of the whole.
   for (auto [sort, sum] : sums)
@@ -63,15 +65,16 @@
   return {};
 }
 
-Merged merged(const std::vector<Lent>& lists, Sort sort) {
-  Merged all;
-  std::vector<std::pair<double, const WarmMessage*>> voices;
+MergedList merge_lists(const std::vector<NeighbourList>& lists, ItemKind sort) {
+  MergedList all;
+  std::vector<std::pair<double, const WarmupMessage*>> voices;
   for (const auto& lent : lists) {
-    if (!has_voice(lent.message, sort)) continue;
+    if (!is_eligible(lent.message, sort)) continue;
     double uses = behind(lent.message, sort);
-    voices.emplace_back(uses / (uses + voice_uses) * (lent.own_hall ? 1 : other_hall), &lent.message);
+    voices.emplace_back(uses / (uses + min_uses_behind_list) * (lent.same_zone ? 1 : other_hall),
+                        &lent.message);
   }
-  all.voices = static_cast<int>(voices.size());
+  all.eligible_lists = static_cast<int>(voices.size());
   if (voices.empty()) return all;
   // Guards against one great voice among small ones: it would be the median of itself.
   double sum = 0;
@@ -80,40 +83,42 @@
   for (const auto& voice : voices) sum += voice.first;
   if (voices.size() > 1) greatest->first = std::min(greatest->first, sum - greatest->first);
 
-  std::map<std::uint64_t, std::map<const WarmMessage*, const Popular*>> named;
+  std::map<std::uint64_t, std::map<const WarmupMessage*, const PopularItem*>> named;
   for (const auto& [weight, message] : voices)
-    for (const auto& one : message->list)
-      if (one.sort == sort) named[one.id][message] = &one;
-  std::map<const WarmMessage*, std::vector<Popular>> apart;
+    for (const auto& one : message->items)
+      if (one.kind == sort) named[one.id][message] = &one;
+  std::map<const WarmupMessage*, std::vector<PopularItem>> apart;
   std::vector<Said> totals;
   for (const auto& [weight, message] : voices) totals.push_back({uses_of(*message, sort), weight});
-  all.uses = lower_median(totals);
+  all.total_rate = lower_median(totals);
   for (const auto& [id, by] : named) {
     std::vector<Said> uses, over, took;
     for (const auto& [weight, message] : voices) {
       auto found = by.find(message);
-      const Popular* one = found == by.end() ? nullptr : found->second;
-      uses.push_back({one ? one->uses : 0, weight}), over.push_back({one ? one->most_over : 0, weight});
-      if (one && one->took > 0) took.push_back({one->took, weight});
+      const PopularItem* one = found == by.end() ? nullptr : found->second;
+      uses.push_back({one ? one->rate : 0, weight}),
+          over.push_back({one ? one->max_overestimate : 0, weight});
+      if (one && one->mean_duration > 0) took.push_back({one->mean_duration, weight});
     }
-    Popular merged{sort, id, lower_median(uses), lower_median(over), lower_median(took)};
-    if (merged.uses > 0) all.things.push_back(merged);
+    PopularItem merged{sort, id, lower_median(uses), lower_median(over), lower_median(took)};
+    if (merged.rate > 0) all.items.push_back(merged);
     else
       for (auto [message, one] : by) apart[message].push_back(*one);
   }
-  auto busiest_first = [](std::vector<Popular>& things) {
+  auto busiest_first = [](std::vector<PopularItem>& things) {
     std::stable_sort(things.begin(), things.end(),
-                     [](const Popular& a, const Popular& b) { return a.uses > b.uses; });
+                     [](const PopularItem& a, const PopularItem& b) { return a.rate > b.rate; });
   };
-  busiest_first(all.things);
+  busiest_first(all.items);
   for (const auto& [weight, message] : voices) {
     if (!apart.count(message)) continue;
     busiest_first(apart[message]);
     for (auto& one : apart[message]) {
-      one.uses = std::min(one.uses - one.most_over, all.uses / static_cast<double>(voices.size()));
-      one.most_over = 0;
+      one.rate =
+          std::min(one.rate - one.max_overestimate, all.total_rate / static_cast<double>(voices.size()));
+      one.max_overestimate = 0;
     }
-    all.apart.push_back(std::move(apart[message]));
+    all.excluded_by_source.push_back(std::move(apart[message]));
   }
   return all;
 }
--- a/src/warm/merge.h
+++ b/src/warm/merge.h
@@ -13,27 +13,27 @@
 
 namespace rockcrank::warm {
 
-constexpr Millis list_span = 60000;  // of the sketches: a use of that long ago counts 1/e
-constexpr double voice_uses = 20;    // behind a list, before it has a voice
+constexpr Millis sketch_time_constant = 60000;  // of the sketches: a use of that long ago counts 1/e
+constexpr double min_uses_behind_list = 20;     // behind a list, before it has a voice
 
-struct Lent {
-  bool own_hall = false;  // another hall's relays prefer other endpoints of the same destinations
-  WarmMessage message;
+struct NeighbourList {
+  bool same_zone = false;  // another hall's relays prefer other endpoints of the same destinations
+  WarmupMessage message;
 };
 
-struct Merged {
-  std::vector<Popular> things;  // the busiest first
-  double uses = 0;              // a second, of all things together
-  int voices = 0;
+struct MergedList {
+  std::vector<PopularItem> items;  // the busiest first
+  double total_rate = 0;           // a second, of all things together
+  int eligible_lists = 0;
   // What the median leaves out, by who named it, the busiest first: members may have different traffic. No
   // rate here is above a voice's part of all uses; who heeds these must give no lender more room than
   // another.
-  std::vector<std::vector<Popular>> apart;
+  std::vector<std::vector<PopularItem>> excluded_by_source;
 };
 
 // Empty: it can be believed as far as it goes; else what speaks against it.
-std::string unbelievable(const WarmMessage& message, std::size_t list_most);
-bool has_voice(const WarmMessage& message, Sort sort);
-Merged merged(const std::vector<Lent>& lists, Sort sort);
+std::string validation_error(const WarmupMessage& message, std::size_t list_most);
+bool is_eligible(const WarmupMessage& message, ItemKind sort);
+MergedList merge_lists(const std::vector<NeighbourList>& lists, ItemKind sort);
 
 }  // namespace rockcrank::warm
--- a/src/warm/space_saving.cpp
+++ b/src/warm/space_saving.cpp
@@ -20,7 +20,7 @@
   base_ = now, total_ *= shrunk;
   by_count_.clear();
   for (auto& [id, entry] : held_) {
-    entry.count *= shrunk, entry.most_over *= shrunk, entry.busy *= shrunk;
+    entry.count *= shrunk, entry.max_overestimate *= shrunk, entry.total_duration *= shrunk;
     by_count_.emplace(entry.count, id);
   }
 }
@@ -38,7 +38,7 @@
     found = held_.emplace(id, Entry{id, least.first, least.first, 0}).first;
   } else if (found == held_.end()) found = held_.emplace(id, Entry{id, 0, 0, 0}).first;
   else by_count_.erase({found->second.count, id});
-  found->second.count += one, found->second.busy += one * took;
+  found->second.count += one, found->second.total_duration += one * took;
   by_count_.emplace(found->second.count, id);
 }
 
@@ -49,7 +49,7 @@
   double unit = weight(now);
   for (auto at = by_count_.rbegin(); at != by_count_.rend() && all.size() < most; ++at) {
     Entry entry = held_.at(at->second);
-    entry.count /= unit, entry.most_over /= unit, entry.busy /= unit;
+    entry.count /= unit, entry.max_overestimate /= unit, entry.total_duration /= unit;
     all.push_back(entry);
   }
   return all;
--- a/src/warm/space_saving.h
+++ b/src/warm/space_saving.h
@@ -22,8 +22,8 @@
  public:
   struct Entry {
     std::uint64_t id = 0;
-    double count = 0, most_over = 0;  // uses, faded
-    double busy = 0;  // ms that they took, faded; of those counted since the entry got its place
+    double count = 0, max_overestimate = 0;  // uses, faded
+    double total_duration = 0;  // ms that they took, faded; of those counted since the entry got its place
   };
 
   // span: a use of that long ago counts 1/e of one of now.
