--- a/src/warm/warm.cpp
+++ b/src/warm/warm.cpp
@@ -63,12 +63,14 @@
 
 class Mind final : public Warmer {
  public:
-  Mind(const fleet::Roster& roster, MemberId self, const Budget& budget, bool cold, std::uint64_t seed)
+  Mind(const fleet::Roster& roster, MemberId self, const WarmupBudget& budget, bool cold, std::uint64_t seed)
       : budget_(budget),
         chance_(static_cast<std::minstd_rand::result_type>(seed ^ seed >> 32)),
         phase_(cold ? Phase::asking : Phase::over),
-        endpoints_(entries_per_listed * static_cast<std::size_t>(std::max(0, budget.list_most)), list_span),
-        keys_(entries_per_listed * static_cast<std::size_t>(std::max(0, budget.list_most)), list_span) {
+        endpoints_(entries_per_listed * static_cast<std::size_t>(std::max(0, budget.max_list_items)),
+                   sketch_time_constant),
+        keys_(entries_per_listed * static_cast<std::size_t>(std::max(0, budget.max_list_items)),
+              sketch_time_constant) {
     chance_.discard(4);  // the first draws of seeds that lie close are close
     std::string hall;
     for (const auto& member : roster)
@@ -86,23 +88,23 @@
     spread_ = drawn() * std::min(spread_most, spread_per_member * static_cast<double>(roster.size()));
   }
 
-  void begin(Millis now) override {
+  void begin_turn(Millis now) override {
     if (!std::exchange(begun_, true))
       start_ = serving_since_ = now, answers_left_ = answers_a_second, filled_at_ = now;
     now_ = now, waiting_ = 0, done_ = {};
     answers_left_ = std::min(answers_a_second, answers_left_ + (now_ - filled_at_) * answers_a_second / 1000);
     filled_at_ = now_;
   }
-  void alive(const std::vector<MemberId>& members) override { alive_ = {members.begin(), members.end()}; }
-  void linked(MemberId peer, bool up) override {
+  void set_alive(const std::vector<MemberId>& members) override { alive_ = {members.begin(), members.end()}; }
+  void on_link_change(MemberId peer, bool up) override {
     if (up) links_.insert(peer);
     else links_.erase(peer);
   }
-  void stalled() override { serving_since_ = now_; }
+  void on_stall() override { serving_since_ = now_; }
 
-  void heard(MemberId from, const WarmMessage& message) override {
+  void on_message(MemberId from, const WarmupMessage& message) override {
     if (!near_.count(from)) return;
-    if (message.asks) {
+    if (message.is_request) {
       askers_[from].asked = now_;
       asks_.insert(from);
       return;
@@ -111,43 +113,43 @@
     // Only an answer to a question, once, while lists are gathered: an old one tells of another time.
     if (phase_ != Phase::asking || asked == asked_.end() || asked->second.answered) return;
     asked->second.answered = true;
-    if (auto why = unbelievable(message, list_longest); !why.empty()) {
+    if (auto why = validation_error(message, list_longest); !why.empty()) {
       done_.log.push_back("warming: the list of " + name(from) + " is not believed: " + why);
       return;
     }
-    cold_answers_ += message.serving < newcomer_age, ++answers_;
+    cold_answers_ += message.serving_time < newcomer_age, ++answers_;
     lists_.push_back({near_[from], message});
   }
 
-  void used(Sort sort, std::uint64_t id, Millis took) override {
-    (sort == Sort::endpoint ? endpoints_ : keys_).add(now_, id, took);
-    if (sort != Sort::endpoint || phase_ == Phase::over) return;
+  void record_use(ItemKind sort, std::uint64_t id, Millis took) override {
+    (sort == ItemKind::endpoint ? endpoints_ : keys_).add(now_, id, took);
+    if (sort != ItemKind::endpoint || phase_ == Phase::over) return;
     ++own_uses_;
     if (phase_ == Phase::opening) ++uses_since_plan_, hits_ += listed_.count(id);
   }
-  void documents(int waiting, int free_slots) override { waiting_ = waiting, free_slots_ = free_slots; }
-  void state_known(bool known) override { state_known_ = known; }
+  void set_load(int waiting, int free_slots) override { waiting_ = waiting, free_slots_ = free_slots; }
+  void set_state_known(bool known) override { state_known_ = known; }
 
-  void fate(EndpointId endpoint, Fate fate) override {
+  void on_connection_event(EndpointId endpoint, ConnectionEvent fate) override {
     auto& lines = lines_[endpoint];
     auto leave = [&] {
       if (lines.resting > 0) --lines.resting;
       else if (lines.coming > 0) --lines.coming, --coming_;
     };
     switch (fate) {
-      case Fate::up:
+      case ConnectionEvent::connected:
         if (lines.coming > 0) --lines.coming, --coming_, ++lines.resting;
         return;
-      case Fate::used: leave(), ++count_.used; break;
-      case Fate::unused: leave(), ++count_.unused; break;
-      case Fate::failed:
+      case ConnectionEvent::used: leave(), ++count_.used; break;
+      case ConnectionEvent::unused: leave(), ++count_.unused; break;
+      case ConnectionEvent::failed:
         // Whether it takes calls is for documents to find out; nothing more is opened there ahead.
         if (lines.coming > 0) --lines.coming, --coming_;
         ++count_.failed, drop(endpoint);
     }
     if (lines.coming == 0 && lines.resting == 0) lines_.erase(endpoint);
   }
-  void may_not(EndpointId endpoint) override {
+  void on_preconnect_refused(EndpointId endpoint) override {
     take_back(endpoint);
     // What follows there waits as long: the answer was for the endpoint.
     for (auto& item : plan_)
@@ -156,21 +158,21 @@
     if (++last_->refused < asked_again) last_->due = now_ + may_not_rests * last_->refused, put(*last_);
     last_.reset();
   }
-  void enough(EndpointId endpoint) override { take_back(endpoint), last_.reset(); }
-  void loaded(std::size_t bytes) override {
+  void on_preconnect_unneeded(EndpointId endpoint) override { take_back(endpoint), last_.reset(); }
+  void on_body_loaded(std::size_t bytes) override {
     loading_ = std::max(0, loading_ - 1), bytes_ += bytes;
-    if (bytes_ >= budget_.bytes) loads_.clear();
+    if (bytes_ >= budget_.max_bytes) loads_.clear();
   }
 
-  Decided decide() override {
+  Actions decide() override {
     fleet::run_by_priority(*this, rules);
     auto due = next_due();
     done_.wake_in = due >= never ? -1 : std::max(0.0, due - now_);
     return std::move(done_);
   }
 
-  bool over() const override { return phase_ == Phase::over; }
-  Count count() const override { return count_; }
+  bool is_finished() const override { return phase_ == Phase::over; }
+  PreconnectStats stats() const override { return count_; }
 
  private:
   enum class Phase { asking, opening, over };
@@ -218,31 +220,32 @@
     --answers_left_, asker.answered = now_;
     done_.sends.push_back({to, list()});
   }
-  WarmMessage list() const {
-    WarmMessage message;
-    message.serving = now_ - serving_since_;
-    Millis age = std::max(1000.0, now_ - start_), whole = list_span * (1 - std::exp(-age / list_span));
+  WarmupMessage list() const {
+    WarmupMessage message;
+    message.serving_time = now_ - serving_since_;
+    Millis age = std::max(1000.0, now_ - start_),
+           whole = sketch_time_constant * (1 - std::exp(-age / sketch_time_constant));
     auto rate = [&](double count) { return count * 1000 / whole; };
-    message.endpoint_uses = rate(endpoints_.total(now_)), message.key_uses = rate(keys_.total(now_));
-    auto most = static_cast<std::size_t>(std::max(0, budget_.list_most));
+    message.endpoint_rate = rate(endpoints_.total(now_)), message.key_rate = rate(keys_.total(now_));
+    auto most = static_cast<std::size_t>(std::max(0, budget_.max_list_items));
     auto keys = std::min(keys_.size(), std::max(most / 2, most - std::min(most, endpoints_.size())));
-    auto add = [&](Sort sort, const SpaceSaving& sketch, std::size_t number) {
+    auto add = [&](ItemKind sort, const SpaceSaving& sketch, std::size_t number) {
       for (const auto& entry : sketch.top(now_, number)) {
         // The time of a use is known of those counted since the entry got its place.
-        double counted = entry.count - entry.most_over;
-        message.list.push_back({sort, entry.id, rate(entry.count), rate(entry.most_over),
-                                counted > 0 ? entry.busy / counted : 0});
+        double counted = entry.count - entry.max_overestimate;
+        message.items.push_back({sort, entry.id, rate(entry.count), rate(entry.max_overestimate),
+                                 counted > 0 ? entry.total_duration / counted : 0});
       }
     };
-    add(Sort::endpoint, endpoints_, most - keys);
-    add(Sort::key, keys_, keys);
+    add(ItemKind::endpoint, endpoints_, most - keys);
+    add(ItemKind::key, keys_, keys);
     return message;
   }
 
   // Asking.
-  static WarmMessage question() {
-    WarmMessage message;
-    message.asks = true;
+  static WarmupMessage question() {
+    WarmupMessage message;
+    message.is_request = true;
     return message;
   }
   int outstanding() const {
@@ -251,12 +254,12 @@
     }));
   }
   int voices() const {
-    return static_cast<int>(std::ranges::count_if(lists_, [](const Lent& lent) {
-      return has_voice(lent.message, Sort::endpoint) || has_voice(lent.message, Sort::key);
+    return static_cast<int>(std::ranges::count_if(lists_, [](const NeighbourList& lent) {
+      return is_eligible(lent.message, ItemKind::endpoint) || is_eligible(lent.message, ItemKind::key);
     }));
   }
   const fleet::Member* next_neighbour() const {
-    if (questions_ >= questions_per_neighbour * budget_.neighbours) return nullptr;
+    if (questions_ >= questions_per_neighbour * budget_.max_neighbours) return nullptr;
     auto at_hand = [&](const fleet::Member& member) {
       bool time = now_ >= start_ + spread_ + (near_.at(member.id) ? 0 : links_come);
       return time && links_.count(member.id) && alive_.count(member.id);
@@ -271,12 +274,12 @@
     return nullptr;
   }
   Millis links_are_up() const { return start_ + spread_ + 2 * links_come; }
-  Millis asking_ends() const { return start_ + asking_share * budget_.within; }
+  Millis asking_ends() const { return start_ + asking_share * budget_.time_limit; }
   bool nobody_else() { return phase_ == Phase::asking && neighbours_.empty(); }
   void end_alone() { end("there is no other relay"); }
   bool lacks_lists() {
-    return phase_ == Phase::asking && now_ < asking_ends() && outstanding() + voices() < budget_.neighbours &&
-           next_neighbour() != nullptr;
+    return phase_ == Phase::asking && now_ < asking_ends() &&
+           outstanding() + voices() < budget_.max_neighbours && next_neighbour() != nullptr;
   }
   void ask() {
     auto to = next_neighbour()->id;
@@ -286,8 +289,8 @@
   bool has_lists() {
     if (phase_ != Phase::asking) return false;
     auto answered = std::ranges::count_if(asked_, [](const auto& one) { return one.second.answered; });
-    bool enough = answered == std::ssize(neighbours_) || voices() >= budget_.neighbours ||
-                  questions_ >= questions_per_neighbour * budget_.neighbours;
+    bool enough = answered == std::ssize(neighbours_) || voices() >= budget_.max_neighbours ||
+                  questions_ >= questions_per_neighbour * budget_.max_neighbours;
     // Those that have no link by then are down: they are not waited for where others have answered.
     bool rest_down = answers_ > 0 && now_ >= links_are_up() && !next_neighbour();
     return now_ >= asking_ends() || (outstanding() == 0 && (enough || rest_down));
@@ -301,24 +304,26 @@
     for (const auto& [member, asker] : askers_) asked_me += now_ < asker.asked + newcomer_age;
     // Each newcomer asks some of its neighbours; one that asked here may be the only one.
     double by_askers =
-        std::min(others, std::max(0.0, asked_me - 1) * others / std::max(1, budget_.neighbours));
+        std::min(others, std::max(0.0, asked_me - 1) * others / std::max(1, budget_.max_neighbours));
     return 1 + std::max(by_answers, by_askers);
   }
   void make_plan() {
-    auto endpoints = merged(lists_, Sort::endpoint), keys = merged(lists_, Sort::key);
-    if (endpoints.voices == 0 && keys.voices == 0)
+    auto endpoints = merge_lists(lists_, ItemKind::endpoint), keys = merge_lists(lists_, ItemKind::key);
+    if (endpoints.eligible_lists == 0 && keys.eligible_lists == 0)
       return end(answers_ == 0 ? "no neighbour answers" : "no neighbour has a list that tells enough");
-    phase_ = Phase::opening, all_uses_ = endpoints.uses;
+    phase_ = Phase::opening, all_uses_ = endpoints.total_rate;
     auto share = [](int voices) { return voices == 1 ? lone_share : 1.0; };
-    connections_ = static_cast<std::uint64_t>(std::ceil(budget_.connections * share(endpoints.voices)));
-    budget_.bytes = static_cast<std::size_t>(static_cast<double>(budget_.bytes) * share(keys.voices));
+    connections_ =
+        static_cast<std::uint64_t>(std::ceil(budget_.max_connections * share(endpoints.eligible_lists)));
+    budget_.max_bytes =
+        static_cast<std::size_t>(static_cast<double>(budget_.max_bytes) * share(keys.eligible_lists));
     double many = newcomers();
-    Millis rests = budget_.idle_life > 0 ? budget_.idle_life : rest_unknown;
-    for (const auto& one : endpoints.things) {
-      listed_.insert(one.id), listed_uses_ += one.uses;
-      done_.state_first.push_back(EndpointId{one.id});
+    Millis rests = budget_.idle_timeout > 0 ? budget_.idle_timeout : rest_unknown;
+    for (const auto& one : endpoints.items) {
+      listed_.insert(one.id), listed_uses_ += one.rate;
+      done_.sync_first.push_back(EndpointId{one.id});
       // The k-th connection is used by calls that meet k - 1 others out.
-      double sure = one.uses - one.most_over, at_once = sure * one.took / 1000;
+      double sure = one.rate - one.max_overestimate, at_once = sure * one.mean_duration / 1000;
       std::vector<double> values;
       for (int k = 1; k <= at_one_endpoint; ++k)
         if (double value = sure * at_least(at_once, k - 1); value * rests / 1000 >= uses_expected)
@@ -330,21 +335,23 @@
         put({EndpointId{one.id}, k++, 0, false, value, now_ + window * drawn()});
     }
     // What one alone names comes last, and each lender has the same small room for it.
-    auto room = endpoints.apart.empty() ? 0 : lone_share * budget_.connections / endpoints.voices;
-    for (const auto& things : endpoints.apart)
+    auto room = endpoints.excluded_by_source.empty()
+                    ? 0
+                    : lone_share * budget_.max_connections / endpoints.eligible_lists;
+    for (const auto& things : endpoints.excluded_by_source)
       for (int left = static_cast<int>(std::ceil(room)); const auto& one : things) {
-        if (left-- == 0 || one.uses * rests / 1000 < uses_expected) break;
-        done_.state_first.push_back(EndpointId{one.id});
-        put({EndpointId{one.id}, 1, 0, true, one.uses, now_ + 1000 * many / endpoint_takes * drawn()});
+        if (left-- == 0 || one.rate * rests / 1000 < uses_expected) break;
+        done_.sync_first.push_back(EndpointId{one.id});
+        put({EndpointId{one.id}, 1, 0, true, one.rate, now_ + 1000 * many / endpoint_takes * drawn()});
       }
-    if (budget_.bytes > 0)
-      for (const auto& one : keys.things) loads_.push_back(one.id);
+    if (budget_.max_bytes > 0)
+      for (const auto& one : keys.items) loads_.push_back(one.id);
     std::ranges::reverse(loads_);
     char line[160];
     std::snprintf(line, sizeof line,
                   "warming begins: %zu lists, %d heeded, %zu endpoints, %zu keys, about %.0f newcomers",
-                  lists_.size(), std::max(endpoints.voices, keys.voices), endpoints.things.size(),
-                  keys.things.size(), many);
+                  lists_.size(), std::max(endpoints.eligible_lists, keys.eligible_lists),
+                  endpoints.items.size(), keys.items.size(), many);
     done_.log.push_back(line);
   }
 
@@ -380,7 +387,7 @@
     last_ = *item, opened_at_ = now_;
     plan_.erase(item);
     ++count_.opened, ++lines_[last_->endpoint].coming, ++coming_;
-    done_.open.push_back({last_->endpoint, last_->up_to});
+    done_.preconnects.push_back({last_->endpoint, last_->up_to});
   }
   bool is_spent() {
     return phase_ == Phase::opening && count_.opened >= connections_ && !plan_.empty() && coming_ == 0;
@@ -389,15 +396,15 @@
 
   bool may_load() {
     return phase_ == Phase::opening && !loads_.empty() && loading_ < loads_under_way && free_slots_ > 0 &&
-           waiting_ == 0 && bytes_ < budget_.bytes;
+           waiting_ == 0 && bytes_ < budget_.max_bytes;
   }
   void load() {
-    done_.load.push_back(loads_.back());
+    done_.bodies_to_load.push_back(loads_.back());
     loads_.pop_back(), ++loading_;
   }
 
   // Ending.
-  bool is_late() { return phase_ != Phase::over && now_ >= start_ + budget_.within; }
+  bool is_late() { return phase_ != Phase::over && now_ >= start_ + budget_.time_limit; }
   void end_late() { end(phase_ == Phase::asking ? "no list came in time" : "its time is spent"); }
   // By then its own list holds whatever the plan still names, unless that is rarer here than it says.
   bool knows_better() {
@@ -437,7 +444,7 @@
     Millis due = never;
     auto at = [&](Millis when) { due = std::min(due, when); };
     if (phase_ == Phase::over) return due;
-    at(start_ + budget_.within);
+    at(start_ + budget_.time_limit);
     if (phase_ == Phase::asking) {
       at(asking_ends());
       for (Millis when : {start_ + spread_, start_ + spread_ + links_come, links_are_up()})
@@ -456,13 +463,13 @@
 
   static const std::vector<fleet::Rule<Mind>> rules;
 
-  Budget budget_;
+  WarmupBudget budget_;
   std::minstd_rand chance_;
   Phase phase_;
   std::vector<fleet::Member> neighbours_;  // in the order of asking
   std::map<MemberId, bool> near_;          // of the own hall
   Millis now_ = 0, start_ = 0, serving_since_ = 0, spread_ = 0, opened_at_ = -never, filled_at_ = 0;
-  Decided done_;
+  Actions done_;
 
   SpaceSaving endpoints_, keys_;
   std::set<MemberId> alive_, links_, asks_;
@@ -470,7 +477,7 @@
   double answers_left_ = 0;
 
   std::map<MemberId, Asked> asked_;
-  std::vector<Lent> lists_;
+  std::vector<NeighbourList> lists_;
   int questions_ = 0, answers_ = 0, cold_answers_ = 0;
 
   std::vector<Item> plan_;    // the most useful first
@@ -484,7 +491,7 @@
   std::set<std::uint64_t> listed_;
   double all_uses_ = 0, listed_uses_ = 0;
   std::uint64_t own_uses_ = 0, uses_since_plan_ = 0, hits_ = 0;
-  Count count_;
+  PreconnectStats count_;
 };
 
 const std::vector<fleet::Rule<Mind>> Mind::rules = {
@@ -503,8 +510,8 @@
 
 }  // namespace
 
-std::unique_ptr<Warmer> Warmer::make(const fleet::Roster& roster, fleet::MemberId self, const Budget& budget,
-                                     bool cold, std::uint64_t seed) {
+std::unique_ptr<Warmer> Warmer::make(const fleet::Roster& roster, fleet::MemberId self,
+                                     const WarmupBudget& budget, bool cold, std::uint64_t seed) {
   return std::make_unique<Mind>(roster, self, budget, cold, seed);
 }
 
--- a/tests/fleet/fleet_config_test.cpp
+++ b/tests/fleet/fleet_config_test.cpp
@@ -46,26 +46,26 @@
 
 TEST(FleetConfig, ReadsTheShippedFileWhole) {
   auto config = read_text(shipped() + stream_text, "n2");
-  EXPECT_EQ(config.fleet, "example");
+  EXPECT_EQ(config.fleet_name, "example");
   EXPECT_EQ(config.self, fleet::MemberId(fnv1a_hash("n2")));
   ASSERT_EQ(config.roster.size(), 3u);
   EXPECT_LT(config.roster[0].id, config.roster[1].id);
-  EXPECT_EQ(config.places.at(fleet::MemberId(fnv1a_hash("n3"))), (Address{"127.0.0.1", 7948}));
-  EXPECT_EQ(config.queue_bytes, 4096u * 1024);
-  EXPECT_TRUE(config.share && config.wait_for_copy && config.warm);
-  EXPECT_EQ(config.copies, 2);
-  EXPECT_EQ(config.lease, 2000);
-  EXPECT_EQ(config.drift, 0.01);
+  EXPECT_EQ(config.addresses.at(fleet::MemberId(fnv1a_hash("n3"))), (Address{"127.0.0.1", 7948}));
+  EXPECT_EQ(config.max_queue_bytes, 4096u * 1024);
+  EXPECT_TRUE(config.shared_state_enabled && config.wait_for_replica && config.warmup_enabled);
+  EXPECT_EQ(config.replica_count, 2);
+  EXPECT_EQ(config.lease_duration, 2000);
+  EXPECT_EQ(config.max_clock_drift, 0.01);
   ASSERT_EQ(config.streams.size(), 1u);
   EXPECT_EQ(config.streams[0].subscribers, (std::set{DestinationId(7), DestinationId(9)}));
-  EXPECT_EQ(config.latest_disk_bytes, std::size_t{64} << 20);
+  EXPECT_EQ(config.max_log_disk_bytes, std::size_t{64} << 20);
 }
 
 TEST(FleetConfig, WhatIsLeftOutIsOff) {
   auto text = shipped();
   auto config = read_text(text.substr(0, text.find("[share]")));
-  EXPECT_FALSE(config.share || config.wait_for_copy || config.warm);
-  EXPECT_EQ(config.copies, 0);
+  EXPECT_FALSE(config.shared_state_enabled || config.wait_for_replica || config.warmup_enabled);
+  EXPECT_EQ(config.replica_count, 0);
   EXPECT_TRUE(config.streams.empty());
 }
 
--- a/tests/fleet/latest_files.h
+++ b/tests/fleet/in_memory_disk.h
@@ -11,13 +11,13 @@
 
 namespace rockcrank::peer {
 
-struct Killed {};
+struct SimulatedCrash {};
 
-struct Disk {
+struct InMemoryDisk {
   std::map<std::string, std::string> files;
-  int steps = 0, stop_at = 0;  // 0: never
-  bool is_short = false;
-  std::size_t room = SIZE_MAX;
+  int step_count = 0, crash_at_step = 0;  // 0: never
+  bool writes_partially = false;
+  std::size_t capacity = SIZE_MAX;
   std::map<std::string, std::size_t> flushed;  // bytes of each that outlast the machine's power
   void flush() {
     flushed.clear();
@@ -26,16 +26,16 @@
   void cut_power() {
     for (auto& [name, bytes] : files) bytes.resize(std::min(bytes.size(), flushed[name]));
   }
-  std::size_t taken() const {
+  std::size_t used_bytes() const {
     std::size_t sum = 0;
     for (const auto& [name, bytes] : files) sum += bytes.size();
     return sum;
   }
 };
 
-class DiskView final : public Files {
+class InMemoryFiles final : public FileSystem {
  public:
-  explicit DiskView(std::shared_ptr<Disk> disk) : disk_(std::move(disk)) {}
+  explicit InMemoryFiles(std::shared_ptr<InMemoryDisk> disk) : disk_(std::move(disk)) {}
   std::vector<std::string> list() override {
     std::vector<std::string> names;
     for (const auto& [name, bytes] : disk_->files) names.push_back(name);
@@ -52,39 +52,39 @@
   }
   std::size_t append(const std::string& name, std::string_view bytes) override {
     bool stops = step();
-    auto fits = std::min(bytes.size(), disk_->room - std::min(disk_->room, disk_->taken()));
-    if (stops) fits = disk_->is_short ? std::min(fits, bytes.size() / 2) : 0;
+    auto fits = std::min(bytes.size(), disk_->capacity - std::min(disk_->capacity, disk_->used_bytes()));
+    if (stops) fits = disk_->writes_partially ? std::min(fits, bytes.size() / 2) : 0;
     disk_->files[name].append(bytes.substr(0, fits));
-    if (stops) throw Killed();
+    if (stops) throw SimulatedCrash();
     return fits;
   }
-  bool cut(const std::string& name, std::size_t size) override {
-    if (step()) throw Killed();
+  bool truncate(const std::string& name, std::size_t size) override {
+    if (step()) throw SimulatedCrash();
     disk_->files[name].resize(size);
     disk_->flushed[name] = std::min(disk_->flushed[name], size);
     return true;
   }
   bool sync(const std::string& name) override {
-    if (step()) throw Killed();
+    if (step()) throw SimulatedCrash();
     disk_->flushed[name] = disk_->files[name].size();
     return true;
   }
   bool rename(const std::string& from, const std::string& to) override {
-    if (step()) throw Killed();
+    if (step()) throw SimulatedCrash();
     disk_->files[to] = std::move(disk_->files[from]);
     disk_->files.erase(from);
     disk_->flushed[to] = std::exchange(disk_->flushed[from], 0);
     return true;
   }
   bool remove(const std::string& name) override {
-    if (step()) throw Killed();
+    if (step()) throw SimulatedCrash();
     disk_->files.erase(name), disk_->flushed.erase(name);
     return true;
   }
 
  private:
-  bool step() { return ++disk_->steps == disk_->stop_at; }
-  std::shared_ptr<Disk> disk_;
+  bool step() { return ++disk_->step_count == disk_->crash_at_step; }
+  std::shared_ptr<InMemoryDisk> disk_;
 };
 
 }  // namespace rockcrank::peer
--- a/tests/fleet/latest_test.cpp
+++ b/tests/fleet/latest_test.cpp
@@ -13,10 +13,10 @@
 #include <random>
 #include <set>
 
-#include "latest/shelf.h"
-#include "latest_files.h"
+#include "in_memory_disk.h"
+#include "latest/digest_tree.h"
 #include "peer/codec.h"
-#include "peer/latest_log.h"
+#include "peer/persistent_log.h"
 
 namespace rockcrank::peer {
 namespace {
@@ -29,7 +29,7 @@
 LatestSettings settings_for(std::vector<DestinationId> subscribers, Millis tombstone_life = 1e9) {
   LatestSettings settings;
   settings.streams = {{stream, "status", std::move(subscribers), tombstone_life, 0, 0.5}};
-  settings.segment_bytes = 1 << 15, settings.disk_bytes = 1 << 22, settings.version_ahead = 60000;
+  settings.segment_bytes = 1 << 15, settings.max_disk_bytes = 1 << 22, settings.max_clock_offset = 60000;
   return settings;
 }
 
@@ -41,25 +41,25 @@
     for (int i = 0; i < relays; ++i)
       roster_.push_back({MemberId(static_cast<std::uint64_t>(i) + 1), "n" + std::to_string(i + 1), "h0"});
     for (const auto& member : roster_) {
-      nodes_[member.id].disk = std::make_shared<Disk>();
+      nodes_[member.id].disk = std::make_shared<InMemoryDisk>();
       start(member.id);
     }
   }
 
   struct Node {
-    std::shared_ptr<Disk> disk;
-    std::unique_ptr<LatestLog> log;  // none: killed
+    std::shared_ptr<InMemoryDisk> disk;
+    std::unique_ptr<PersistentLog> log;  // none: killed
     Millis skew = 0, stalled_until = 0;
-    std::vector<std::pair<Millis, Latest::Delivery>> under_way;
+    std::vector<std::pair<Millis, CompactedLog::Delivery>> under_way;
     std::set<MemberId> cut;  // those whose messages do not arrive here
   };
-  using Lanes = std::map<DestinationId, std::map<std::string, std::vector<Stamp>>>;
+  using Lanes = std::map<DestinationId, std::map<std::string, std::vector<HybridTimestamp>>>;
 
   void start(MemberId id) {
     Node& node = nodes_.at(id);
     node.log =
-        std::make_unique<LatestLog>(std::make_unique<DiskView>(node.disk), "log", roster_, id, settings_,
-                                    1 << 16, static_cast<std::uint64_t>(id), now_, wall(node));
+        std::make_unique<PersistentLog>(std::make_unique<InMemoryFiles>(node.disk), "log", roster_, id,
+                                        settings_, 1 << 16, static_cast<std::uint64_t>(id), now_, wall(node));
     node.under_way.clear();
     relink();
   }
@@ -89,9 +89,9 @@
     Record record;
     record.stream = stream, record.key = "k" + std::to_string(key), record.id = "d" + std::to_string(++taken);
     record.body = ends ? "" : "body " + record.id;
-    node.log->begin(now_, wall(node));
+    node.log->begin_turn(now_, wall(node));
     try {
-      auto stamp = node.log->take(record);
+      auto stamp = node.log->append_local(record);
       names_[key_hash(record.key)] = record.key;
       newest[record.key] = std::max(newest[record.key], stamp);
     } catch (const fleet::FleetError&) { return false; }
@@ -111,8 +111,8 @@
           at = on_way_.upper_bound(now_) == on_way_.begin() ? on_way_.end() : on_way_.begin();
           continue;
         }
-        node.log->begin(now_, wall(node));
-        node.log->heard(from, message);
+        node.log->begin_turn(now_, wall(node));
+        node.log->on_message(from, message);
       }
       for (auto& [id, node] : nodes_)
         if (node.log && now_ >= node.stalled_until) turn(id, node);
@@ -125,7 +125,7 @@
           node.log->module().digest(stream) != nodes_.begin()->second.log->module().digest(stream))
         return false;
       for (const auto& [key, stamp] : newest)
-        if (auto held = node.log->module().newest_stamp(stream, key_hash(key)); !held || *held < stamp)
+        if (auto held = node.log->module().newest_timestamp(stream, key_hash(key)); !held || *held < stamp)
           return false;
     }
     for (auto subscriber : settings_.streams[0].subscribers)
@@ -143,14 +143,14 @@
 
   double drawn(double low, double high) { return std::uniform_real_distribution<double>(low, high)(chance_); }
   MemberId member(std::size_t number) { return roster_[number % roster_.size()].id; }
-  LatestLog& log(MemberId id) { return *nodes_.at(id).log; }
+  PersistentLog& log(MemberId id) { return *nodes_.at(id).log; }
   Millis now() const { return now_; }
 
   double loss = 0, failing = 0;
   std::set<DestinationId> down;
   int taken = 0, repeats = 0, backwards = 0;
   std::uint64_t delivered = 0, bytes = 0;
-  std::map<std::string, Stamp> newest;
+  std::map<std::string, HybridTimestamp> newest;
   Lanes had;  // all that each subscriber got, in its order
 
  private:
@@ -160,18 +160,18 @@
     for (auto& [id, node] : nodes_) {
       if (!node.log) continue;
       std::vector<MemberId> alive;
-      node.log->begin(now_, wall(node));
+      node.log->begin_turn(now_, wall(node));
       for (auto& [other, peer] : nodes_) {
         bool up = peer.log && !peer.cut.count(id) && !node.cut.count(other);
         if (peer.log || other == id) alive.push_back(other);
-        if (other != id) node.log->module().linked(other, up);
+        if (other != id) node.log->module().on_link_change(other, up);
       }
-      node.log->module().alive(alive);
+      node.log->module().set_alive(alive);
     }
   }
 
   void turn(MemberId id, Node& node) {
-    node.log->begin(now_, wall(node));
+    node.log->begin_turn(now_, wall(node));
     auto decided = node.log->decide();
     for (auto& [to, message] : decided.sends) {
       if (drawn(0, 1) < loss) continue;
@@ -193,19 +193,20 @@
       }
       node.under_way.erase(node.under_way.begin() + static_cast<std::ptrdiff_t>(i));
       // The moment of sending: the host asks whether it still has the duty.
-      bool goes = node.log->module().has_duty(delivery.lane, now_) && !down.count(delivery.lane.subscriber);
+      bool goes = node.log->module().has_delivery_lease(delivery.subscription, now_) &&
+                  !down.count(delivery.subscription.subscriber);
       if (goes) receive(delivery);
       bool told = goes && drawn(0, 1) >= failing;  // else the answer is lost
-      node.log->module().ended(delivery, told);
+      node.log->module().on_delivery_ended(delivery, told);
     }
   }
 
-  void receive(const Latest::Delivery& delivery) {
+  void receive(const CompactedLog::Delivery& delivery) {
     ++delivered;
-    auto& list = had[delivery.lane.subscriber][names_.at(delivery.key)];
-    backwards += !list.empty() && delivery.stamp < list.back();
-    repeats += !list.empty() && delivery.stamp == list.back();
-    list.push_back(delivery.stamp);
+    auto& list = had[delivery.subscription.subscriber][names_.at(delivery.key)];
+    backwards += !list.empty() && delivery.timestamp < list.back();
+    repeats += !list.empty() && delivery.timestamp == list.back();
+    list.push_back(delivery.timestamp);
   }
 
   LatestSettings settings_;
@@ -274,7 +275,8 @@
   world.run(4000);
   MemberId holder{};
   for (std::size_t i = 0; i < 3; ++i)
-    if (world.log(world.member(i)).module().has_duty({stream, first}, world.now())) holder = world.member(i);
+    if (world.log(world.member(i)).module().has_delivery_lease({stream, first}, world.now()))
+      holder = world.member(i);
   ASSERT_NE(holder, MemberId{});
   world.kill(holder);
   auto other = holder == world.member(0) ? world.member(1) : world.member(0);
@@ -298,7 +300,7 @@
     for (int i = 0; i < 60; ++i) world.take(world.member(static_cast<std::size_t>(i)), i % 5), world.run(100);
     int holders = 0;
     for (std::size_t i = 0; i < 3; ++i)
-      holders += world.log(world.member(i)).module().has_duty({stream, first}, world.now());
+      holders += world.log(world.member(i)).module().has_delivery_lease({stream, first}, world.now());
     EXPECT_LE(holders, 1);
     world.heal();
     world.run(1000);
@@ -353,35 +355,36 @@
 
 const fleet::Roster pair_of{{MemberId(1), "n1", "h0"}, {MemberId(2), "n2", "h0"}};
 
-std::unique_ptr<Latest> module(const fleet::Roster& roster,
-                               std::vector<DestinationId> subscribers = {first}) {
-  auto made = Latest::make(roster, MemberId(1), settings_for(std::move(subscribers)), 1);
-  made->begin(1000, 1e6);
-  made->segment(SegmentId(1), stream, false);
+std::unique_ptr<CompactedLog> module(const fleet::Roster& roster,
+                                     std::vector<DestinationId> subscribers = {first}) {
+  auto made = CompactedLog::make(roster, MemberId(1), settings_for(std::move(subscribers)), 1);
+  made->begin_turn(1000, 1e6);
+  made->add_segment(SegmentId(1), stream, false);
   return made;
 }
 
 // Entries of few keys and stamps, so that equal stamps with other content come up.
-Entry drawn_entry() {
-  Entry entry;
+RecordHeader drawn_entry() {
+  RecordHeader entry;
   entry.stream = stream, entry.key = {*rc::gen::inRange<std::uint64_t>(0, 4) << 60, 1};
-  entry.stamp = {*rc::gen::inRange<std::uint64_t>(1, 5), 0, MemberId(*rc::gen::inRange<std::uint64_t>(1, 3))};
-  entry.content = *rc::gen::inRange<std::uint64_t>(1, 4), entry.tombstone = *rc::gen::arbitrary<bool>();
+  entry.timestamp = {*rc::gen::inRange<std::uint64_t>(1, 5), 0,
+                     MemberId(*rc::gen::inRange<std::uint64_t>(1, 3))};
+  entry.content_hash = *rc::gen::inRange<std::uint64_t>(1, 4), entry.tombstone = *rc::gen::arbitrary<bool>();
   return entry;
 }
 
-void give(Latest& module, const std::vector<Entry>& entries) {
+void give(CompactedLog& module, const std::vector<RecordHeader>& entries) {
   std::uint32_t offset = 0;
   for (const auto& entry : entries) {
-    auto verdict = module.judge(entry);
-    if (verdict == Verdict::newer || verdict == Verdict::replaces)
-      module.stored(entry, {SegmentId(1), offset += 10, 10}, false);
+    auto verdict = module.check_record(entry);
+    if (verdict == RecordCheck::newer || verdict == RecordCheck::conflict_replace_local)
+      module.on_record_stored(entry, {SegmentId(1), offset += 10, 10}, false);
   }
 }
 
 TEST(Latest, MergingRecordsIsCommutativeAssociativeAndIdempotent) {
   EXPECT_TRUE(rc::check("any order, any repeats, one newest a key", [] {
-    auto entries = *rc::gen::container<std::vector<Entry>>(rc::gen::exec(drawn_entry));
+    auto entries = *rc::gen::container<std::vector<RecordHeader>>(rc::gen::exec(drawn_entry));
     auto order = entries;
     std::minstd_rand chance(*rc::gen::inRange<unsigned>(1, 1000000));
     std::ranges::shuffle(order, chance);
@@ -397,11 +400,11 @@
 
 TEST(Latest, MergingMarksIsCommutativeAssociativeAndIdempotent) {
   EXPECT_TRUE(rc::check("any order, any repeats, one position", [] {
-    auto marks = *rc::gen::container<std::vector<Mark>>(rc::gen::exec([] {
-      Mark mark;
-      mark.lane = {stream, first}, mark.key = {*rc::gen::inRange<std::uint64_t>(0, 4) << 60, 1};
-      mark.stamp = {900000 + *rc::gen::inRange<std::uint64_t>(1, 5), 0, MemberId(1)};
-      mark.had = *rc::gen::arbitrary<bool>();
+    auto marks = *rc::gen::container<std::vector<DeliveryState>>(rc::gen::exec([] {
+      DeliveryState mark;
+      mark.subscription = {stream, first}, mark.key = {*rc::gen::inRange<std::uint64_t>(0, 4) << 60, 1};
+      mark.timestamp = {900000 + *rc::gen::inRange<std::uint64_t>(1, 5), 0, MemberId(1)};
+      mark.delivered = *rc::gen::arbitrary<bool>();
       return mark;
     }));
     auto order = marks;
@@ -410,8 +413,8 @@
     order.insert(order.end(), marks.begin(), marks.end());
     auto one = module(pair_of), other = module(pair_of);
     LatestMessage message;
-    message.marks = marks, one->heard(MemberId(2), message, true);
-    message.marks = order, other->heard(MemberId(2), message, true);
+    message.delivery_states = marks, one->on_message(MemberId(2), message, true);
+    message.delivery_states = order, other->on_message(MemberId(2), message, true);
     RC_ASSERT(one->digest({stream, first}) == other->digest({stream, first}));
   }));
 }
@@ -423,12 +426,12 @@
     std::uint64_t sum() const { return value; }
   };
   EXPECT_TRUE(rc::check("of any range, after any changes", [] {
-    Shelf<Item> shelf;
+    DigestTree<Item> shelf;
     std::map<KeyHash, std::uint64_t> plain;
     for (int i = *rc::gen::inRange(0, 400); i > 0; --i) {
       KeyHash key{*rc::gen::inRange<std::uint64_t>(0, 512) << 55, 0};
       if (*rc::gen::inRange(0, 4) == 0) RC_ASSERT(shelf.erase(key) == (plain.erase(key) > 0));
-      else shelf.put({key, plain[key] = *rc::gen::inRange<std::uint64_t>(0, 9)});
+      else shelf.upsert({key, plain[key] = *rc::gen::inRange<std::uint64_t>(0, 9)});
     }
     int bits = *rc::gen::inRange(0, 12);
     auto prefix = bits ? *rc::gen::inRange<std::uint64_t>(0, 1u << bits) << (64 - bits) : 0;
@@ -436,52 +439,53 @@
     for (auto [key, value] : plain)
       if (bits == 0 || key.high >> (64 - bits) == prefix >> (64 - bits)) sum += value, keys += value > 0;
     auto got = shelf.sum(prefix, bits);
-    RC_ASSERT(got.sum == sum && got.keys == keys && shelf.size() == plain.size());
+    RC_ASSERT(got.sum == sum && got.key_count == keys && shelf.size() == plain.size());
   }));
 }
 
 TEST(Latest, VersionsGrowWhateverTheClockDoesAndOnesTooFarAheadAreRefused) {
   auto one = module(pair_of);
   KeyHash key{1, 1};
-  auto before = *one->stamp(stream, key);
-  one->begin(1001, 1e6 - 30000);  // back by half a minute
-  auto after = *one->stamp(stream, key);
+  auto before = *one->next_timestamp(stream, key);
+  one->begin_turn(1001, 1e6 - 30000);  // back by half a minute
+  auto after = *one->next_timestamp(stream, key);
   EXPECT_LT(before, after);
-  Entry entry{stream, key, {1070000, 0, MemberId(2)}, false, 1, {}, 0};
-  EXPECT_EQ(one->judge(entry), Verdict::ahead);
-  one->begin(1002, 1e6 + 10000);
-  EXPECT_EQ(one->judge(entry), Verdict::newer);
-  one->stored(entry, {SegmentId(1), 0, 10}, false);
-  EXPECT_GT(*one->stamp(stream, key), entry.stamp);
-  one->begin(1003, 1e6 - 120000);  // back by more than a version may lie ahead: others would refuse it
-  EXPECT_FALSE(one->stamp(stream, key));
+  RecordHeader entry{stream, key, {1070000, 0, MemberId(2)}, false, 1, {}, 0};
+  EXPECT_EQ(one->check_record(entry), RecordCheck::too_far_ahead);
+  one->begin_turn(1002, 1e6 + 10000);
+  EXPECT_EQ(one->check_record(entry), RecordCheck::newer);
+  one->on_record_stored(entry, {SegmentId(1), 0, 10}, false);
+  EXPECT_GT(*one->next_timestamp(stream, key), entry.timestamp);
+  one->begin_turn(1003, 1e6 - 120000);  // back by more than a version may lie ahead: others would refuse it
+  EXPECT_FALSE(one->next_timestamp(stream, key));
 }
 
 // Two majorities share a member, and that one does not note an older version after a newer one.
 TEST(Latest, OlderVersionIsNotNotedAfterANewerOne) {
   auto voter = module(pair_of);
-  voter->begin(10000, 1e6 + 9000);
-  voter->linked(MemberId(2), true);
-  const Lane lane{stream, first};
+  voter->begin_turn(10000, 1e6 + 9000);
+  voter->on_link_change(MemberId(2), true);
+  const Subscription lane{stream, first};
   LatestMessage ask;
-  ask.asks = {{lane, 7, 1, false}};
-  voter->heard(MemberId(2), ask, true);
+  ask.lease_requests = {{lane, 7, 1, false}};
+  voter->on_message(MemberId(2), ask, true);
   auto said = voter->decide().sends;
-  ASSERT_TRUE(std::ranges::any_of(
-      said, [](const auto& one) { return !one.message.grants.empty() && one.message.grants[0].granted; }));
+  ASSERT_TRUE(std::ranges::any_of(said, [](const auto& one) {
+    return !one.message.lease_responses.empty() && one.message.lease_responses[0].granted;
+  }));
   auto noted = [&](std::uint64_t number, std::uint64_t wall, std::uint64_t epoch) {
     LatestMessage note;
-    note.number = number, note.marks = {{lane, {1, 1}, {wall, 0, MemberId(2)}, false, epoch}};
-    voter->heard(MemberId(2), note, true);
+    note.sequence = number, note.delivery_states = {{lane, {1, 1}, {wall, 0, MemberId(2)}, false, epoch}};
+    voter->on_message(MemberId(2), note, true);
     for (const auto& one : voter->decide().sends)
-      if (std::ranges::count(one.message.noted, number)) return true;
+      if (std::ranges::count(one.message.acknowledged, number)) return true;
     return false;
   };
   EXPECT_TRUE(noted(1, 1000005, 7));
   EXPECT_FALSE(noted(2, 1000004, 7)) << "older than what it has noted";
   EXPECT_TRUE(noted(3, 1000005, 7)) << "the same once more";
   EXPECT_FALSE(noted(4, 1000006, 6)) << "of a duty that is over";
-  EXPECT_EQ(voter->position(lane, {1, 1})->stamp.wall, 1000006u);  // told all the same
+  EXPECT_EQ(voter->delivery_state(lane, {1, 1})->timestamp.wall_time, 1000006u);  // told all the same
   EXPECT_TRUE(noted(5, 1000007, 7));
 }
 
@@ -489,7 +493,7 @@
   World world(2, {first}, 7);
   Record record;
   record.stream = stream, record.key = "k1", record.id = "a", record.body = "one";
-  record.stamp = {static_cast<std::uint64_t>(1e12), 0, MemberId(1)};
+  record.timestamp = {static_cast<std::uint64_t>(1e12), 0, MemberId(1)};
   auto other = record;
   other.id = "b", other.body = "two";
   LatestMessage one, two;
@@ -497,8 +501,8 @@
   for (int i : {0, 1}) {
     auto& log = world.log(world.member(static_cast<std::size_t>(i)));
     auto peer = world.member(static_cast<std::size_t>(1 - i));
-    log.begin(world.now(), 1e12 + 2000);
-    log.heard(peer, i == 0 ? one : two), log.heard(peer, i == 0 ? two : one);
+    log.begin_turn(world.now(), 1e12 + 2000);
+    log.on_message(peer, i == 0 ? one : two), log.on_message(peer, i == 0 ? two : one);
     auto lines = log.decide().log;
     EXPECT_TRUE(std::ranges::any_of(lines, [](const auto& line) {
       return line.find("equal version and other content") != std::string::npos;
@@ -517,14 +521,14 @@
   auto& log = world.log(MemberId(1));
   auto out = [&](int waiting, bool rests) {
     std::size_t most = 0;
-    log.module().documents(waiting), log.module().rests(first, rests);
-    std::vector<Latest::Delivery> under_way;
+    log.module().set_waiting_documents(waiting), log.module().set_destination_impaired(first, rests);
+    std::vector<CompactedLog::Delivery> under_way;
     for (int i = 0; i < 30; ++i) {
-      log.begin(world.now() + i * 10, 1e12 + world.now() + i * 10);
+      log.begin_turn(world.now() + i * 10, 1e12 + world.now() + i * 10);
       for (auto& one : log.decide().deliver) under_way.push_back(one);
       most = std::max(most, under_way.size());
     }
-    for (auto& one : under_way) log.module().ended(one, true);
+    for (auto& one : under_way) log.module().on_delivery_ended(one, true);
     return most;
   };
   EXPECT_EQ(out(0, true), 0u);
--- a/tests/fleet/link_test.cpp
+++ b/tests/fleet/link_test.cpp
@@ -92,11 +92,11 @@
   Node& node(const std::string& key, Incarnation life = {5, 5}, bool start = true) {
     auto name = key.substr(0, 1);
     auto& made = nodes_[key];
-    made.config.fleet = "test", made.config.self = id(name), made.config.self_name = name;
-    made.config.queue_bytes = 256 * 1024, made.config.frame_bytes = 16 * 1024;
+    made.config.fleet_name = "test", made.config.self = id(name), made.config.self_name = name;
+    made.config.max_queue_bytes = 256 * 1024, made.config.max_frame_bytes = 16 * 1024;
     for (const auto& [member, port] : ports_) {
       made.config.roster.push_back({id(member), member, "h0"});
-      made.config.places.emplace(id(member), Address{"127.0.0.1", port});
+      made.config.addresses.emplace(id(member), Address{"127.0.0.1", port});
     }
     if (start) begin(made, life);
     return made;
@@ -106,13 +106,13 @@
     made.link->on_message = [this, &made](MemberId from, Channel, std::string_view payload) {
       made.heard.emplace_back(from, payload), made.heard_at.push_back(loop_.now());
     };
-    made.link->on_peer = [this, &made](MemberId peer, Incarnation peers, bool up) {
+    made.link->on_link_change = [this, &made](MemberId peer, Incarnation peers, bool up) {
       for (const auto& [name, port] : ports_)
         if (id(name) == peer)
           made.ups.push_back(
               std::string(1, up ? '+' : '-').append(name).append(std::to_string(peers.number)));
     };
-    made.link->on_twin = [&made](Incarnation other) { made.twins.insert(other); };
+    made.link->on_duplicate_self = [&made](Incarnation other) { made.twins.insert(other); };
   }
   bool until(const std::function<bool()>& holds, Millis within = 8000) {
     auto end = loop_.now() + within;
@@ -162,19 +162,19 @@
   for (auto at : b.heard_at) ++rounds[at];
   for (auto [at, count] : rounds) EXPECT_LE(count, 512);
   EXPECT_TRUE(c.heard.empty());
-  ASSERT_TRUE(until([&] { return a.link->crossing(id("b")) >= 0; }));
-  EXPECT_LT(a.link->crossing(id("b")), 1000);
-  EXPECT_LT(a.link->crossing(id("x")), 0);
+  ASSERT_TRUE(until([&] { return a.link->one_way_delay(id("b")) >= 0; }));
+  EXPECT_LT(a.link->one_way_delay(id("b")), 1000);
+  EXPECT_LT(a.link->one_way_delay(id("x")), 0);
   EXPECT_FALSE(a.link->send(id("b"), Channel::warm, std::string(16 * 1024, 'x')));  // too large to be taken
-  EXPECT_TRUE(a.link->up(id("b")));
+  EXPECT_TRUE(a.link->is_up(id("b")));
 }
 
 TEST_F(Links, RedialsAPeerThatComesBackInANewLife) {
   places({"a", "b"});
   auto &a = node("a"), &b = node("b", {6, 6});
-  ASSERT_TRUE(until([&] { return a.link->up(id("b")) && b.link->up(id("a")); }));
+  ASSERT_TRUE(until([&] { return a.link->is_up(id("b")) && b.link->is_up(id("a")); }));
   b.link.reset();
-  ASSERT_TRUE(until([&] { return !a.link->up(id("b")); }));
+  ASSERT_TRUE(until([&] { return !a.link->is_up(id("b")); }));
   EXPECT_FALSE(a.link->send(id("b"), Channel::warm, "lost"));
   begin(b, {7, 1});
   ASSERT_TRUE(until([&] { return a.ups == std::vector<std::string>{"+b6", "-b6", "+b7"}; }));
@@ -184,18 +184,18 @@
 TEST_F(Links, ALinkCutOneWayIsCutOneWay) {
   places({"a", "b"});
   auto &a = node("a", {5, 5}, false), &b = node("b");
-  a.config.places[id("b")].port = reserve_port();  // as by a proxy that is cut
+  a.config.addresses[id("b")].port = reserve_port();  // as by a proxy that is cut
   begin(a, {5, 5});
-  ASSERT_TRUE(until([&] { return b.link->up(id("a")); }));
+  ASSERT_TRUE(until([&] { return b.link->is_up(id("a")); }));
   ASSERT_TRUE(b.link->send(id("a"), Channel::warm, "one way"));
   EXPECT_TRUE(heard(a, "one way"));
-  EXPECT_FALSE(a.link->up(id("b")) || a.link->send(id("b"), Channel::warm, "other way"));
+  EXPECT_FALSE(a.link->is_up(id("b")) || a.link->send(id("b"), Channel::warm, "other way"));
 }
 
 TEST_F(Links, RefusesAndNamesEachBadPeerAndHarmsNothingElse) {
   places({"a", "b", "c"});
   auto &a = node("a"), &c = node("c");
-  ASSERT_TRUE(until([&] { return c.link->up(id("a")); }));
+  ASSERT_TRUE(until([&] { return c.link->is_up(id("a")); }));
   auto spoilt = frame(1, "abcdef");
   spoilt.back() ^= 1;
   Greeting other_fleet, stranger, future, no_magic;
@@ -253,12 +253,12 @@
 TEST_F(Links, BoundsTheConnectionsItAccepts) {
   places({"a", "b", "c"});
   auto &a = node("a"), &c = node("c");
-  ASSERT_TRUE(until([&] { return c.link->up(id("a")); }));
+  ASSERT_TRUE(until([&] { return c.link->is_up(id("a")); }));
   std::vector<int> many;
   std::size_t most = 0;
   for (int i = 0; i < 100; ++i) many.push_back(raw(ports_["a"]));
   ASSERT_TRUE(until([&] {
-    most = std::max(most, a.link->connections());
+    most = std::max(most, a.link->connection_count());
     return std::count_if(many.begin(), many.end(), closed) >= 80;
   }));
   EXPECT_LE(most, 2u * 2 + 2 + 16 + 1);
@@ -283,19 +283,19 @@
   ports_["b"] = port_of(listener);
   auto &a = node("a"), &c = node("c");
   welcome(listener);
-  ASSERT_TRUE(until([&] { return a.link->up(id("b")) && a.link->up(id("c")); }));
+  ASSERT_TRUE(until([&] { return a.link->is_up(id("b")) && a.link->is_up(id("c")); }));
   int sent = 0;
   while (sent < 100000 && a.link->send(id("b"), Channel::latest, std::string(8000, 'x'))) ++sent;
   EXPECT_GT(sent, 30);
   EXPECT_LT(sent, 100000);
-  EXPECT_FALSE(a.link->up(id("b")));
+  EXPECT_FALSE(a.link->is_up(id("b")));
   ASSERT_TRUE(a.link->send(id("c"), Channel::warm, "on time"));
   EXPECT_TRUE(heard(c, "on time"));
   EXPECT_TRUE(until([&] { return std::count(a.ups.begin(), a.ups.end(), "-b5") == 1; }));
   EXPECT_TRUE(until([&] {  // it is dialled again
     for (int fd; (fd = accept4(listener, nullptr, nullptr, SOCK_NONBLOCK)) >= 0; opened_.push_back(fd))
       say(fd, greeting());
-    return a.link->up(id("b"));
+    return a.link->is_up(id("b"));
   }));
 }
 
@@ -305,9 +305,9 @@
   ports_["b"] = port_of(listener);
   auto& a = node("a");
   welcome(listener);
-  ASSERT_TRUE(until([&] { return a.link->up(id("b")); }));
+  ASSERT_TRUE(until([&] { return a.link->is_up(id("b")); }));
   auto since = loop_.now();
-  EXPECT_TRUE(until([&] { return !a.link->up(id("b")); }));
+  EXPECT_TRUE(until([&] { return !a.link->is_up(id("b")); }));
   EXPECT_LT(loop_.now() - since, 2200);
   EXPECT_GT(loop_.now() - since, 1400);
 }
@@ -315,7 +315,7 @@
 TEST_F(Links, OneOfTwoLivesOfAMemberIsToldOfTheOther) {
   places({"a", "b"});
   auto &b = node("b"), &old_life = node("a1", {5, 1});
-  ASSERT_TRUE(until([&] { return b.link->up(id("a")) && old_life.link->up(id("b")); }));
+  ASSERT_TRUE(until([&] { return b.link->is_up(id("a")) && old_life.link->is_up(id("b")); }));
   auto& image = node("a2", {5, 2});  // counts alike, as from a restored image; it finds the address taken
   ASSERT_TRUE(until([&] { return old_life.twins.count({5, 2}) == 1; }));
   EXPECT_TRUE(image.twins.empty());
--- a/tests/fleet/registers_test.cpp
+++ b/tests/fleet/registers_test.cpp
@@ -207,7 +207,7 @@
       last = at = std::max(at, last);
       queue.push({at, ++number, to, i, bytes});
     }
-    for (const auto& status : actions.route_reports) {
+    for (const auto& status : actions.route_statuses) {
       node.reports.push_back(status);
       if (status.retry_after_left > 0 && !node.wait_ends.count(std::to_string(status.route)))
         ++members_knowing[status.route];
--- a/tests/fleet/route_gossip_test.cpp
+++ b/tests/fleet/route_gossip_test.cpp
@@ -44,7 +44,7 @@
       now_ = when;
       if (!event.datagram.empty()) {
         at(event.relay).on_datagram(event.datagram);
-        for (const auto& status : at(event.relay).take_reports())
+        for (const auto& status : at(event.relay).take_route_statuses())
           received[static_cast<std::size_t>(event.relay)].emplace_back(now_, status);
       }
       turn(event.relay);
@@ -158,7 +158,7 @@
   gossip->begin_turn(10);
   gossip->on_datagram(
       {{static_cast<UpdateKind>(9), false, 1, 100, 0, 0}, {UpdateKind::retry_after, false, 2, 700, 0, 0}});
-  auto reports = gossip->take_reports();
+  auto reports = gossip->take_route_statuses();
   ASSERT_EQ(reports.size(), 1u);
   EXPECT_EQ(reports[0].route, 2u);
   EXPECT_EQ(reports[0].retry_after_left, 700);
--- a/tests/fleet/segments_test.cpp
+++ b/tests/fleet/segments_test.cpp
@@ -6,8 +6,8 @@
 #include <map>
 #include <set>
 
-#include "latest_files.h"
-#include "peer/latest_log.h"
+#include "in_memory_disk.h"
+#include "peer/persistent_log.h"
 
 namespace rockcrank::peer {
 namespace {
@@ -20,7 +20,7 @@
 LatestSettings small(std::size_t disk = 1 << 16) {
   LatestSettings settings;
   settings.streams = {{stream, "status", {DestinationId(5)}, 1e9, 0, 0.3}};
-  settings.segment_bytes = 4096, settings.disk_bytes = disk, settings.version_ahead = 60000;
+  settings.segment_bytes = 4096, settings.max_disk_bytes = disk, settings.max_clock_offset = 60000;
   return settings;
 }
 
@@ -31,9 +31,10 @@
   return made;
 }
 
-std::unique_ptr<LatestLog> open(const std::shared_ptr<Disk>& disk, Millis now, std::size_t most = 1 << 16) {
-  return std::make_unique<LatestLog>(std::make_unique<DiskView>(disk), "log", alone, fleet::MemberId(1),
-                                     small(most), 1000, 1, now, 1e6 + now);
+std::unique_ptr<PersistentLog> open(const std::shared_ptr<InMemoryDisk>& disk, Millis now,
+                                    std::size_t most = 1 << 16) {
+  return std::make_unique<PersistentLog>(std::make_unique<InMemoryFiles>(disk), "log", alone,
+                                         fleet::MemberId(1), small(most), 1000, 1, now, 1e6 + now);
 }
 
 // What a run was told is kept; the last append may have been under way.
@@ -42,7 +43,7 @@
   std::string under_way_key, under_way_id;
 };
 
-void audit(LatestLog& log, const Told& told, const std::string& when) {
+void audit(PersistentLog& log, const Told& told, const std::string& when) {
   for (const auto& [key, id] : told.newest) {
     auto found = log.read(stream, key_hash(key));
     ASSERT_TRUE(found) << when << ": " << key << " is lost";
@@ -52,49 +53,49 @@
 }
 
 // Appends with compactions in between; deliveries end at once, so that marks are written too.
-void play(LatestLog& log, Told& told, Millis& now, int from, int to) {
+void play(PersistentLog& log, Told& told, Millis& now, int from, int to) {
   for (int i = from; i < to; ++i) {
-    now += 1, log.begin(now, 1e6 + now);
+    now += 1, log.begin_turn(now, 1e6 + now);
     auto one = record(i * i % 11, i);
     told.under_way_key = one.key, told.under_way_id = one.id;
     try {
-      log.take(one);
+      log.append_local(one);
       told.newest[one.key] = one.id;
     } catch (const fleet::StorageUnavailable&) {}
     told.under_way_key.clear();
     for (int turn = 0; turn < 3; ++turn) {
-      now += 10, log.begin(now, 1e6 + now);
-      for (const auto& going : log.decide().deliver) log.module().ended(going, true);
+      now += 10, log.begin_turn(now, 1e6 + now);
+      for (const auto& going : log.decide().deliver) log.module().on_delivery_ended(going, true);
     }
   }
 }
 
-std::vector<std::string> file_lines(LatestLog& log) {
+std::vector<std::string> file_lines(PersistentLog& log) {
   auto lines = log.decide().log;
   std::erase_if(lines, [](const auto& line) { return line.find(" at byte ") == std::string::npos; });
   return lines;
 }
 
 TEST(Segments, KilledBetweenAnyTwoSteps) {
-  auto counting = std::make_shared<Disk>();
+  auto counting = std::make_shared<InMemoryDisk>();
   Millis now = 0;
   Told whole;
   auto log = open(counting, now);
   play(*log, whole, now, 0, 120);
   ASSERT_GT(log->module().usage().compacted_bytes, 0u);
-  int steps = counting->steps;
+  int steps = counting->step_count;
   ASSERT_GT(steps, 300);
   // Short: only a part of that step's bytes are written before the end.
   for (bool is_short : {false, true})
     for (int stop = 1; stop <= steps; ++stop) {
-      auto disk = std::make_shared<Disk>();
-      disk->stop_at = stop, disk->is_short = is_short;
+      auto disk = std::make_shared<InMemoryDisk>();
+      disk->crash_at_step = stop, disk->writes_partially = is_short;
       Told told;
       now = 0;
       try {
         play(*open(disk, now), told, now, 0, 120);
-      } catch (const Killed&) {}
-      disk->stop_at = 0;
+      } catch (const SimulatedCrash&) {}
+      disk->crash_at_step = 0;
       auto when = "killed at step " + std::to_string(stop) + (is_short ? ", short" : "");
       auto again = open(disk, now);
       audit(*again, told, when);
@@ -109,27 +110,27 @@
 // The machine loses power in the middle of compactions: what was never flushed is gone.
 TEST(Segments, PowerCutInACompactionLosesNothing) {
   for (int stop = 1;; ++stop) {
-    auto disk = std::make_shared<Disk>();
+    auto disk = std::make_shared<InMemoryDisk>();
     Told told;
     Millis now = 0;
     auto log = open(disk, now);
     for (int i = 0; i < 60; ++i) {
-      now += 1, log->begin(now, 1e6 + now);
+      now += 1, log->begin_turn(now, 1e6 + now);
       auto one = record(i * i % 11, i);
-      log->take(one), told.newest[one.key] = one.id;
+      log->append_local(one), told.newest[one.key] = one.id;
     }
     disk->flush();
-    disk->stop_at = disk->steps + stop;
+    disk->crash_at_step = disk->step_count + stop;
     bool is_cut = false;
     try {
-      for (int turn = 0; turn < 200; ++turn) now += 200, log->begin(now, 1e6 + now), log->decide();
-    } catch (const Killed&) { is_cut = true; }
+      for (int turn = 0; turn < 200; ++turn) now += 200, log->begin_turn(now, 1e6 + now), log->decide();
+    } catch (const SimulatedCrash&) { is_cut = true; }
     if (!is_cut) {
       EXPECT_GT(log->module().usage().compacted_bytes, 0u);
       EXPECT_GT(stop, 10);
       return;
     }
-    disk->stop_at = 0, disk->cut_power();
+    disk->crash_at_step = 0, disk->cut_power();
     log = open(disk, now);
     audit(*log, told, "cut at step " + std::to_string(stop));
     if (HasFatalFailure() || HasNonfatalFailure()) return;
@@ -138,32 +139,33 @@
 
 // A key's end must stay on disk for as long as anything older of the key does, also in another segment.
 TEST(Segments, TombstoneOutlivesOlderRecordsOnDisk) {
-  auto disk = std::make_shared<Disk>();
+  auto disk = std::make_shared<InMemoryDisk>();
   Millis now = 0;
   auto settings = small();
-  settings.streams[0].tombstone_life = 1000, settings.streams[0].subscribers.clear();
+  settings.streams[0].tombstone_retention = 1000, settings.streams[0].subscribers.clear();
   auto start = [&] {
-    return std::make_unique<LatestLog>(std::make_unique<DiskView>(disk), "log", alone, fleet::MemberId(1),
-                                       settings, 1000, 1, now, 1e6 + now);
+    return std::make_unique<PersistentLog>(std::make_unique<InMemoryFiles>(disk), "log", alone,
+                                           fleet::MemberId(1), settings, 1000, 1, now, 1e6 + now);
   };
   auto log = start();
   auto turns = [&](int count) {
-    for (int i = 0; i < count; ++i) now += 200, log->begin(now, 1e6 + now), log->decide();
+    for (int i = 0; i < count; ++i) now += 200, log->begin_turn(now, 1e6 + now), log->decide();
   };
-  log->take(record(99, 0));
-  for (int i = 0; i < 19; ++i) log->take(record(i, i + 1));  // these stay: their segment is not worth it
+  log->append_local(record(99, 0));
+  for (int i = 0; i < 19; ++i)
+    log->append_local(record(i, i + 1));  // these stay: their segment is not worth it
   auto ending = record(99, 50);
-  ending.body.clear(), log->take(ending);
-  for (int i = 20; i < 30; ++i) log->take(record(i, 60 + i));
-  for (int i = 0; i < 40; ++i) log->take(record(50, 100 + i));
+  ending.body.clear(), log->append_local(ending);
+  for (int i = 20; i < 30; ++i) log->append_local(record(i, 60 + i));
+  for (int i = 0; i < 40; ++i) log->append_local(record(50, 100 + i));
   turns(60);
-  for (int i = 20; i < 30; ++i) log->take(record(i, 200 + i));  // what lies beside the end goes
+  for (int i = 20; i < 30; ++i) log->append_local(record(i, 200 + i));  // what lies beside the end goes
   turns(200);
   log.reset(), log = start();
   auto found = log->read(stream, key_hash("key99"));
   EXPECT_TRUE(!found || found->body.empty()) << "an ended key is back";
   for (int round = 0; round < 3; ++round)  // once the older one is gone, so is the end
-    for (int i = 0; i < 19; ++i) log->take(record(i, 1000 + 100 * round + i)), turns(2);
+    for (int i = 0; i < 19; ++i) log->append_local(record(i, 1000 + 100 * round + i)), turns(2);
   turns(200);
   EXPECT_FALSE(log->read(stream, key_hash("key99")));
   log.reset(), log = start();
@@ -173,21 +175,21 @@
 TEST(Segments, DiskFullInTheMiddleLosesNothing) {
   std::size_t torn = 0;
   for (std::size_t room = 17000; room < 50000; room += 331) {
-    auto disk = std::make_shared<Disk>();
-    disk->room = room;
+    auto disk = std::make_shared<InMemoryDisk>();
+    disk->capacity = room;
     Told told;
     Millis now = 0;
     auto when = "full at " + std::to_string(room);
-    std::unique_ptr<LatestLog> log;
+    std::unique_ptr<PersistentLog> log;
     try {
       log = open(disk, now);
     } catch (const fleet::StorageUnavailable&) { continue; }
     play(*log, told, now, 0, 150);
     audit(*log, told, when);
-    torn += told.newest.size() < 11 || disk->taken() == room;
+    torn += told.newest.size() < 11 || disk->used_bytes() == room;
     if (room % 2 == 0) log.reset(), log = open(disk, now);
     audit(*log, told, when + ", started again");
-    disk->room = 1 << 20;  // freed: all goes on
+    disk->capacity = 1 << 20;  // freed: all goes on
     play(*log, told, now, 150, 180);
     EXPECT_EQ(told.newest.at("key" + std::to_string(179 * 179 % 11)), "d179") << when;
     audit(*log, told, when + ", freed");
@@ -196,7 +198,7 @@
 }
 
 TEST(Segments, NeverLargerThanItsRoomAndGoesOn) {
-  auto disk = std::make_shared<Disk>();
+  auto disk = std::make_shared<InMemoryDisk>();
   constexpr std::size_t most = 1 << 16;
   auto log = open(disk, 0, most);
   Told told;
@@ -204,7 +206,7 @@
   std::size_t largest = 0;
   for (int i = 0; i < 3000; i += 10) {
     play(*log, told, now, i, i + 10);
-    largest = std::max(largest, log->segments().bytes());
+    largest = std::max(largest, log->segments().disk_bytes());
   }
   EXPECT_LE(largest, most);
   EXPECT_EQ(told.newest.at("key" + std::to_string(2999 * 2999 % 11)), "d2999");
@@ -214,16 +216,16 @@
 
 // More keys than fit: refused with NoRoom, and no key that was taken is lost.
 TEST(Segments, RefusesWhatDoesNotFit) {
-  auto disk = std::make_shared<Disk>();
+  auto disk = std::make_shared<InMemoryDisk>();
   Millis now = 0;
   std::set<int> kept;
   int refused = 0;
   {
     auto log = open(disk, now, 1 << 16);
     for (int i = 0; i < 400; ++i) {
-      now += 1, log->begin(now, 1e6 + now);
+      now += 1, log->begin_turn(now, 1e6 + now);
       try {
-        log->take(record(i, i, 300));
+        log->append_local(record(i, i, 300));
         kept.insert(i);
       } catch (const fleet::StorageUnavailable&) { ++refused; }
       log->decide();
@@ -236,14 +238,14 @@
 }
 
 TEST(Segments, DamageIsNamedAndSetAsideAndTheRestIsSaved) {
-  auto disk = std::make_shared<Disk>();
+  auto disk = std::make_shared<InMemoryDisk>();
   Millis now = 0;
   Told told;
   {
     auto log = open(disk, now);
     for (int i = 0; i < 30; ++i) {
-      now += 1, log->begin(now, 1e6 + now);
-      log->take(record(i, i));
+      now += 1, log->begin_turn(now, 1e6 + now);
+      log->append_local(record(i, i));
     }
   }
   auto& bytes = disk->files.begin()->second;
@@ -266,11 +268,11 @@
 }
 
 TEST(Segments, ForeignFutureAndLostFilesAreNamed) {
-  auto disk = std::make_shared<Disk>();
+  auto disk = std::make_shared<InMemoryDisk>();
   Millis now = 0;
   {
     auto log = open(disk, now);
-    for (int i = 0; i < 40; ++i) now += 1, log->begin(now, 1e6 + now), log->take(record(i, i));
+    for (int i = 0; i < 40; ++i) now += 1, log->begin_turn(now, 1e6 + now), log->append_local(record(i, i));
   }
   auto manifest = disk->files.at("manifest");
   disk->files["manifest"] = "nothing that a manifest would hold, but long enough for a frame";
--- a/tests/fleet/state_file_test.cpp
+++ b/tests/fleet/state_file_test.cpp
@@ -36,14 +36,14 @@
     word.version = {1000 + route, MemberId{7}};
     return word;
   }
-  static Moment at(Millis wall, const std::string& boot = "b1") { return {boot, wall - 5000, wall}; }
-  void written(const std::vector<RegisterRecord>& words, const Moment& when) {
+  static ClockReading at(Millis wall, const std::string& boot = "b1") { return {boot, wall - 5000, wall}; }
+  void written(const std::vector<RegisterRecord>& words, const ClockReading& when) {
     StateFile file(path, "f", MemberId{7});
     std::string why;
     ASSERT_TRUE(file.write(words, when, why)) << why;
   }
   // Set aside and named with these words.
-  void refused(const Moment& now, const std::string& words, const std::string& fleet = "f",
+  void refused(const ClockReading& now, const std::string& words, const std::string& fleet = "f",
                MemberId member = MemberId{7}) {
     StateFile file(path, fleet, member);
     std::string why;
@@ -70,21 +70,21 @@
   std::string why;
   auto kept = file.read(at(1e12 + 12345), why);
   ASSERT_TRUE(kept) << why;
-  EXPECT_NEAR(kept->gone_for, 12345, 0.01);
-  ASSERT_EQ(kept->words.size(), 2u);
-  EXPECT_EQ(kept->words[1].name, wait(2, 0).name);
-  EXPECT_EQ(kept->words[1].duration, 70e3);
+  EXPECT_NEAR(kept->elapsed, 12345, 0.01);
+  ASSERT_EQ(kept->records.size(), 2u);
+  EXPECT_EQ(kept->records[1].name, wait(2, 0).name);
+  EXPECT_EQ(kept->records[1].duration, 70e3);
 }
 
 TEST_F(StateFileTest, AStepOfTheWallClockOnOneMachineDoesNotMatter) {
   written({wait(1, 60e3)}, at(1e12));
-  Moment now = at(1e12 + 2000);
-  now.wall -= 3600e3;
+  ClockReading now = at(1e12 + 2000);
+  now.wall_time -= 3600e3;
   StateFile file(path, "f", MemberId{7});
   std::string why;
   auto kept = file.read(now, why);
   ASSERT_TRUE(kept) << why;
-  EXPECT_NEAR(kept->gone_for, 2000, 0.01);
+  EXPECT_NEAR(kept->elapsed, 2000, 0.01);
 }
 
 TEST_F(StateFileTest, RefusesWhatIsOfTheFuture) {
@@ -128,26 +128,26 @@
 
 TEST_F(StateFileTest, WhatIsSetAsideIsBounded) {
   for (int i = 0; i < 5; ++i) {
-    put(std::string(2 * state_file_bytes, 'x'));
+    put(std::string(2 * max_state_file_bytes, 'x'));
     refused(at(1e12), "too large");
   }
   std::size_t bytes = 0, files = 0;
   for (const auto& file : std::filesystem::directory_iterator(folder)) bytes += file.file_size(), ++files;
-  EXPECT_EQ(files, static_cast<std::size_t>(state_files_aside));
-  EXPECT_LE(bytes, state_disk_bytes);
+  EXPECT_EQ(files, static_cast<std::size_t>(max_quarantined_state_files));
+  EXPECT_LE(bytes, max_state_disk_bytes);
 }
 
 TEST_F(StateFileTest, KeepsTheMostNeededWithinItsBound) {
   std::vector<RegisterRecord> words;
   for (std::uint64_t i = 0; i < 20000; ++i) words.push_back(wait(i, 60e3));
   written(words, at(1e12));
-  EXPECT_LE(std::filesystem::file_size(path), state_file_bytes);
+  EXPECT_LE(std::filesystem::file_size(path), max_state_file_bytes);
   StateFile file(path, "f", MemberId{7});
   std::string why;
   auto kept = file.read(at(1e12), why);
   ASSERT_TRUE(kept) << why;
-  EXPECT_GT(kept->words.size(), 500u);
-  EXPECT_EQ(kept->words[10].name, words[10].name);
+  EXPECT_GT(kept->records.size(), 500u);
+  EXPECT_EQ(kept->records[10].name, words[10].name);
 }
 
 TEST_F(StateFileTest, WhatCannotBeWrittenLeavesWhatStands) {
@@ -159,7 +159,7 @@
   EXPECT_NE(why.find("cannot be kept"), std::string::npos);
   auto kept = file.read(at(1e12), why);
   ASSERT_TRUE(kept) << why;
-  EXPECT_EQ(kept->words[0].name, wait(1, 0).name);
+  EXPECT_EQ(kept->records[0].name, wait(1, 0).name);
 }
 
 }  // namespace
--- a/tests/fleet/warm_test.cpp
+++ b/tests/fleet/warm_test.cpp
@@ -65,8 +65,8 @@
     for (const auto& entry : top) {
       held.insert(entry.id);
       RC_ASSERT(entry.count >= truth[entry.id] - rounding);
-      RC_ASSERT(entry.count - entry.most_over <= truth[entry.id] + rounding);
-      RC_ASSERT(entry.most_over <= all / static_cast<double>(entries) + rounding);
+      RC_ASSERT(entry.count - entry.max_overestimate <= truth[entry.id] + rounding);
+      RC_ASSERT(entry.max_overestimate <= all / static_cast<double>(entries) + rounding);
       RC_ASSERT(entry.count <= before);
       before = entry.count;
     }
@@ -82,32 +82,33 @@
   EXPECT_NEAR(sketch.total(999990), 100.5, 0.1);
   auto top = sketch.top(999990, 2);
   EXPECT_EQ(top[0].id, 2U);
-  EXPECT_NEAR(top[0].busy / top[0].count, 5, 1e-6);
+  EXPECT_NEAR(top[0].total_duration / top[0].count, 5, 1e-6);
   EXPECT_LT(top[1].count, 1e-9);
 }
 
 // --- The merge.
 
-WarmMessage list_of(const std::map<std::uint64_t, double>& rates, Millis serving = 100000, double scale = 1) {
-  WarmMessage message;
-  message.serving = serving;
+WarmupMessage list_of(const std::map<std::uint64_t, double>& rates, Millis serving = 100000,
+                      double scale = 1) {
+  WarmupMessage message;
+  message.serving_time = serving;
   for (auto [id, rate] : rates) {
-    message.list.push_back({Sort::endpoint, id, rate * scale, 0, 20});
-    message.endpoint_uses += rate * scale;
+    message.items.push_back({ItemKind::endpoint, id, rate * scale, 0, 20});
+    message.endpoint_rate += rate * scale;
   }
   return message;
 }
 
-double rate_of(const Merged& merged, std::uint64_t id) {
-  for (const auto& one : merged.things)
-    if (one.id == id) return one.uses;
+double rate_of(const MergedList& merged, std::uint64_t id) {
+  for (const auto& one : merged.items)
+    if (one.id == id) return one.rate;
   return 0;
 }
 
 TEST(Merge, NoLenderMovesAFigureBeyondTheOthers) {
   ASSERT_TRUE(rc::check("one liar", [] {
     auto lenders = *rc::gen::inRange(2, 6);
-    std::vector<Lent> lists;
+    std::vector<NeighbourList> lists;
     std::map<std::uint64_t, double> least, most;
     for (int i = 0; i < lenders; ++i) {
       std::map<std::uint64_t, double> rates;
@@ -124,8 +125,8 @@
     lies[8] = 1e9;
     auto place = *rc::gen::inRange(0, lenders + 1);
     lists.insert(lists.begin() + place, {true, list_of(lies, 1e12)});
-    auto all = merged(lists, Sort::endpoint);
-    RC_ASSERT(all.voices == lenders + 1);
+    auto all = merge_lists(lists, ItemKind::endpoint);
+    RC_ASSERT(all.eligible_lists == lenders + 1);
     for (std::uint64_t id = 0; id < 9; ++id) {
       RC_ASSERT(rate_of(all, id) <= most[id]);
       // Nor is anything that all others name kept from being warmed, where there are three.
@@ -135,49 +136,49 @@
 }
 
 TEST(Merge, WhatOneAloneNamesIsKeptApart) {
-  auto all =
-      merged({{true, list_of({{1, 50}, {2, 10}})}, {true, list_of({{1, 40}, {3, 1e9}})}}, Sort::endpoint);
+  auto all = merge_lists({{true, list_of({{1, 50}, {2, 10}})}, {true, list_of({{1, 40}, {3, 1e9}})}},
+                         ItemKind::endpoint);
   EXPECT_EQ(rate_of(all, 1), 40);
   EXPECT_EQ(rate_of(all, 2) + rate_of(all, 3), 0);
-  ASSERT_EQ(all.apart.size(), 2U);
-  EXPECT_EQ(all.apart[0][0].uses, 10);
-  EXPECT_EQ(all.apart[1][0].uses, 30);  // a voice's part of 60
+  ASSERT_EQ(all.excluded_by_source.size(), 2U);
+  EXPECT_EQ(all.excluded_by_source[0][0].rate, 10);
+  EXPECT_EQ(all.excluded_by_source[1][0].rate, 30);  // a voice's part of 60
 }
 
 TEST(Merge, ColdEmptyAndIdleHaveNoVoice) {
   auto warm = list_of({{1, 50}, {2, 10}});
   auto cold = list_of({{3, 4}}, 1000), idle = list_of({{3, 0.01}}), empty = list_of({});
-  auto all = merged({{true, cold}, {true, warm}, {true, empty}, {true, idle}}, Sort::endpoint);
-  EXPECT_EQ(all.voices, 1);
+  auto all = merge_lists({{true, cold}, {true, warm}, {true, empty}, {true, idle}}, ItemKind::endpoint);
+  EXPECT_EQ(all.eligible_lists, 1);
   EXPECT_EQ(rate_of(all, 1), 50);
   EXPECT_EQ(rate_of(all, 3), 0);
-  EXPECT_EQ(merged({{true, cold}, {true, empty}, {false, idle}}, Sort::endpoint).voices, 0);
+  EXPECT_EQ(merge_lists({{true, cold}, {true, empty}, {false, idle}}, ItemKind::endpoint).eligible_lists, 0);
 }
 
 TEST(Merge, WhatCannotBeIsNotBelieved) {
   auto good = list_of({{1, 50}, {2, 10}});
-  EXPECT_EQ(unbelievable(good, 10), "");
+  EXPECT_EQ(validation_error(good, 10), "");
   auto spoilt = [&](auto change) {
     auto copy = good;
     change(copy);
-    return unbelievable(copy, 10) != "";
+    return validation_error(copy, 10) != "";
   };
-  EXPECT_TRUE(spoilt([](auto& m) { m.list[0].uses = 1e9; }));
-  EXPECT_TRUE(spoilt([](auto& m) { m.list[0].uses = -1; }));
-  EXPECT_TRUE(spoilt([](auto& m) { m.list[0].took = std::numeric_limits<double>::infinity(); }));
-  EXPECT_TRUE(spoilt([](auto& m) { m.list[1].id = 1; }));
-  EXPECT_TRUE(spoilt([](auto& m) { m.serving = std::nan(""); }));
-  EXPECT_TRUE(spoilt([](auto& m) { m.list.resize(11); }));
-  EXPECT_TRUE(spoilt([](auto& m) { m.list[0].sort = Sort(7); }));
+  EXPECT_TRUE(spoilt([](auto& m) { m.items[0].rate = 1e9; }));
+  EXPECT_TRUE(spoilt([](auto& m) { m.items[0].rate = -1; }));
+  EXPECT_TRUE(spoilt([](auto& m) { m.items[0].mean_duration = std::numeric_limits<double>::infinity(); }));
+  EXPECT_TRUE(spoilt([](auto& m) { m.items[1].id = 1; }));
+  EXPECT_TRUE(spoilt([](auto& m) { m.serving_time = std::nan(""); }));
+  EXPECT_TRUE(spoilt([](auto& m) { m.items.resize(11); }));
+  EXPECT_TRUE(spoilt([](auto& m) { m.items[0].kind = ItemKind(7); }));
 }
 
 TEST(Merge, ListsGoOverTheWire) {
   auto sent = list_of({{1, 50}, {2, 10.5}});
-  auto got = peer::unpacked<WarmMessage>(peer::packed(sent));
-  EXPECT_EQ(got.list.size(), 2U);
-  EXPECT_EQ(got.list[1].uses, 10.5);
-  EXPECT_EQ(got.endpoint_uses, 60.5);
-  EXPECT_THROW(peer::unpacked<WarmMessage>("rubbish"), fleet::BadMessage);
+  auto got = peer::unpacked<WarmupMessage>(peer::packed(sent));
+  EXPECT_EQ(got.items.size(), 2U);
+  EXPECT_EQ(got.items[1].rate, 10.5);
+  EXPECT_EQ(got.endpoint_rate, 60.5);
+  EXPECT_THROW(peer::unpacked<WarmupMessage>("rubbish"), fleet::BadMessage);
 }
 
 // --- A fleet of warmers on a virtual clock. Each relay's documents are drawn (Poisson, endpoints by Zipf),
@@ -195,11 +196,11 @@
   bool warms = true, may = true, comes_up = true;
   Millis lasts = 90000;
   std::uint64_t seed = 1;
-  Budget budget{4, 64, 256, 0, 10000, 10000};
+  WarmupBudget budget{4, 64, 256, 0, 10000, 10000};
 
   struct Seen {
     std::uint64_t met = 0;  // handshakes that documents of newcomers waited for, in their first 30 s
-    Warmer::Count count;
+    Warmer::PreconnectStats count;
     std::map<std::pair<int, int>, int> handshakes;  // opened ahead, by endpoint and second
     int busiest_second = 0, questions = 0, answers_most = 0, over = 0, turns = 0;
     double steady = 0;      // the same of as many relays that have long served
@@ -256,53 +257,55 @@
 
     std::function<void(int)> turn;
     auto with = [&](int i, auto input) {
-      at(i).warmer->begin(now);
+      at(i).warmer->begin_turn(now);
       input(*at(i).warmer);
       turn(i);
     };
     std::map<std::pair<int, int>, int> answers;
     std::uint64_t met_by_others = 0;
-    auto open = [&](int i, const Warmer::Ahead& ahead) {
+    auto open = [&](int i, const Warmer::Preconnect& ahead) {
       Relay& relay = at(i);
       auto e = static_cast<int>(ahead.endpoint);
       int up = static_cast<int>(relay.idle[e].size()) + relay.busy[e];
-      if (up >= ahead.up_to) return relay.warmer->enough(ahead.endpoint);
-      if (!may) return relay.warmer->may_not(ahead.endpoint);
+      if (up >= ahead.max_connections) return relay.warmer->on_preconnect_unneeded(ahead.endpoint);
+      if (!may) return relay.warmer->on_preconnect_refused(ahead.endpoint);
       auto& many = seen.handshakes[{e, static_cast<int>(now / 1000)}];
       seen.busiest_second = std::max(seen.busiest_second, ++many);
       later(2, [&, i, e, ahead] {
         if (comes_up) at(i).idle[e].insert(at(i).idle[e].begin(), {now, true});
-        with(i,
-             [&](Warmer& w) { w.fate(ahead.endpoint, comes_up ? Warmer::Fate::up : Warmer::Fate::failed); });
+        with(i, [&](Warmer& w) {
+          w.on_connection_event(ahead.endpoint, comes_up ? Warmer::ConnectionEvent::connected
+                                                         : Warmer::ConnectionEvent::failed);
+        });
       });
     };
     turn = [&](int i) {
       Relay& relay = at(i);
       ++seen.turns;
-      relay.warmer->documents(0, 32);
-      relay.warmer->state_known(true);
+      relay.warmer->set_load(0, 32);
+      relay.warmer->set_state_known(true);
       auto decided = relay.warmer->decide();
       for (auto& line : decided.log) seen.log.push_back(named("n", i).append(" ") + line);
       for (auto& send : decided.sends) {
         int to = place.at(send.to);
-        seen.questions += send.message.asks;
-        if (!send.message.asks)
+        seen.questions += send.message.is_request;
+        if (!send.message.is_request)
           seen.answers_most = std::max(seen.answers_most, ++answers[{i, static_cast<int>(now / 1000)}]);
         auto message = send.message;
-        if (!message.asks && liars.count(i)) {
-          message.list.clear(), message.serving = 1e9;
+        if (!message.is_request && liars.count(i)) {
+          message.items.clear(), message.serving_time = 1e9;
           for (int e = endpoints - 40; e < endpoints; ++e)
-            message.list.push_back({Sort::endpoint, static_cast<std::uint64_t>(e), 1e6, 0, 1000});
-          message.endpoint_uses = 4e7;
+            message.items.push_back({ItemKind::endpoint, static_cast<std::uint64_t>(e), 1e6, 0, 1000});
+          message.endpoint_rate = 4e7;
         }
         if (!dead.count(to))
           later(1, [&, i, to, message] {
             if (!at(to).warmer) return;  // it starts a moment later
-            with(to, [&](Warmer& w) { w.heard(roster[static_cast<std::size_t>(i)].id, message); });
+            with(to, [&](Warmer& w) { w.on_message(roster[static_cast<std::size_t>(i)].id, message); });
           });
       }
-      for (const auto& ahead : decided.open) open(i, ahead);
-      if (decided.wake_in < 0 || relay.warmer->over()) return;
+      for (const auto& ahead : decided.preconnects) open(i, ahead);
+      if (decided.wake_in < 0 || relay.warmer->is_finished()) return;
       Millis wake = now + decided.wake_in;
       if (wake < relay.wake || relay.wake <= now) {
         relay.wake = wake;
@@ -316,25 +319,28 @@
       Relay& relay = at(i);
       auto& idle = relay.idle[e];
       // As endpoints.cpp has it: too long at rest, closed.
-      while (!idle.empty() && now - idle.front().first > budget.idle_life) {
+      while (!idle.empty() && now - idle.front().first > budget.idle_timeout) {
         bool ahead = idle.front().second;
         idle.erase(idle.begin());
         if (ahead)
-          with(i,
-               [&](Warmer& w) { w.fate(EndpointId(static_cast<std::uint64_t>(e)), Warmer::Fate::unused); });
+          with(i, [&](Warmer& w) {
+            w.on_connection_event(EndpointId(static_cast<std::uint64_t>(e)), Warmer::ConnectionEvent::unused);
+          });
       }
       if (idle.empty()) {
         if (fresh.count(i)) ++seen.met;
         else if (now >= 60000) ++met_by_others;
       } else {
         if (idle.back().second)
-          with(i, [&](Warmer& w) { w.fate(EndpointId(static_cast<std::uint64_t>(e)), Warmer::Fate::used); });
+          with(i, [&](Warmer& w) {
+            w.on_connection_event(EndpointId(static_cast<std::uint64_t>(e)), Warmer::ConnectionEvent::used);
+          });
         idle.pop_back();
       }
       ++relay.busy[e];
       later(20, [&, i, e] {
         --at(i).busy[e], at(i).idle[e].push_back({now, false});
-        with(i, [&](Warmer& w) { w.used(Sort::endpoint, static_cast<std::uint64_t>(e), 20); });
+        with(i, [&](Warmer& w) { w.record_use(ItemKind::endpoint, static_cast<std::uint64_t>(e), 20); });
       });
       later(-std::log(1 - drawn()) * 1000 / rate, [&, i] { document(i); });
     };
@@ -343,9 +349,9 @@
       at(i).warmer = Warmer::make(roster, roster[static_cast<std::size_t>(i)].id, budget, cold,
                                   seed * 1000 + static_cast<std::uint64_t>(i));
       with(i, [&](Warmer& w) {
-        w.alive(ids);
+        w.set_alive(ids);
         for (auto id : ids)
-          if (place[id] != i && !dead.count(place[id])) w.linked(id, true);
+          if (place[id] != i && !dead.count(place[id])) w.on_link_change(id, true);
       });
       later(drawn() * 10, [&, i] { document(i); });
     };
@@ -371,8 +377,8 @@
     seen.steady = static_cast<double>(met_by_others * fresh.size()) / std::max(1.0, others);
     for (int i : fresh) {
       auto& relay = at(i);
-      auto count = relay.warmer->count();
-      seen.over += relay.warmer->over();
+      auto count = relay.warmer->stats();
+      seen.over += relay.warmer->is_finished();
       seen.count.opened += count.opened, seen.count.used += count.used;
       seen.count.failed += count.failed, seen.count.unused += count.unused;
       for (const auto& [e, idle] : relay.idle)
@@ -463,7 +469,7 @@
   // All lenders lie: what is opened is not used, so it ends by itself long before its budget.
   play.dead = {};
   for (int i = 0; i < 20; ++i) play.liars.insert(i);
-  play.budget.connections = 1000, play.endpoints = 400;
+  play.budget.max_connections = 1000, play.endpoints = 400;
   auto all = play.run();
   show("all lie", all);
   EXPECT_EQ(all.over, 1);
@@ -483,8 +489,8 @@
     return seen;
   };
   // Other documents than its neighbours': few of the calls go where the lists say.
-  play.other_traffic = 200, play.endpoints = 400, play.rate = 400, play.budget.connections = 2000;
-  play.budget.list_most = 60;
+  play.other_traffic = 200, play.endpoints = 400, play.rate = 400, play.budget.max_connections = 2000;
+  play.budget.max_list_items = 60;
   ended("not asked for");
   play = {}, play.fresh = {3}, play.may = false;
   EXPECT_EQ(ended("nothing is left to warm").count.opened, 0U);  // each refused for good
@@ -514,35 +520,35 @@
   Millis now = 0;
   int slots = 8, going = 0;
   bool state = true;
-  Warmer::Decided last;
+  Warmer::Actions last;
 
-  explicit One(bool cold, Budget budget = {2, 16, 8, 1000, 10000, 10000}) {
+  explicit One(bool cold, WarmupBudget budget = {2, 16, 8, 1000, 10000, 10000}) {
     for (std::uint64_t i = 1; i <= 5; ++i)
       roster.push_back({MemberId(i), named("n", static_cast<int>(i)), "h0"});
     warmer = Warmer::make(roster, MemberId(1), budget, cold, 5);
     turn(0, [&](Warmer& w) {
-      w.alive({MemberId(1), MemberId(2), MemberId(3), MemberId(4), MemberId(5)});
-      for (std::uint64_t i = 2; i <= 5; ++i) w.linked(MemberId(i), true);
+      w.set_alive({MemberId(1), MemberId(2), MemberId(3), MemberId(4), MemberId(5)});
+      for (std::uint64_t i = 2; i <= 5; ++i) w.on_link_change(MemberId(i), true);
     });
   }
   template <typename Input>
-  const Warmer::Decided& turn(Millis in, Input input) {
+  const Warmer::Actions& turn(Millis in, Input input) {
     now += in;
-    warmer->begin(now);
+    warmer->begin_turn(now);
     input(*warmer);
-    warmer->documents(going, slots), warmer->state_known(state);
+    warmer->set_load(going, slots), warmer->set_state_known(state);
     return last = warmer->decide();
   }
-  const Warmer::Decided& turn(Millis in) {
+  const Warmer::Actions& turn(Millis in) {
     return turn(in, [](Warmer&) {});
   }
   // Two neighbours answer alike.
-  const Warmer::Decided& lend(const WarmMessage& message) {
+  const Warmer::Actions& lend(const WarmupMessage& message) {
     turn(20);
     EXPECT_EQ(last.sends.size(), 2U);
     auto asked = last.sends;
     return turn(1, [&](Warmer& w) {
-      for (const auto& one : asked) w.heard(one.to, message);
+      for (const auto& one : asked) w.on_message(one.to, message);
     });
   }
 };
@@ -550,87 +556,90 @@
 TEST(Warmer, DocumentsAndStateGoFirst) {
   One one(true);
   one.slots = 0;
-  EXPECT_TRUE(one.lend(list_of({{1, 50}, {2, 40}})).open.empty());
-  EXPECT_EQ(one.last.state_first.size(), 2U);
-  EXPECT_EQ(static_cast<std::uint64_t>(one.last.state_first.front()), 1U);
-  EXPECT_TRUE(one.turn(500).open.empty());  // no slot is free
+  EXPECT_TRUE(one.lend(list_of({{1, 50}, {2, 40}})).preconnects.empty());
+  EXPECT_EQ(one.last.sync_first.size(), 2U);
+  EXPECT_EQ(static_cast<std::uint64_t>(one.last.sync_first.front()), 1U);
+  EXPECT_TRUE(one.turn(500).preconnects.empty());  // no slot is free
   one.slots = 8, one.state = false;
-  EXPECT_TRUE(one.turn(500).open.empty());  // what others know is not here yet
+  EXPECT_TRUE(one.turn(500).preconnects.empty());  // what others know is not here yet
   EXPECT_GE(one.last.wake_in, 0);
   one.state = true;
-  EXPECT_EQ(one.turn(500).open.size(), 1U);
+  EXPECT_EQ(one.turn(500).preconnects.size(), 1U);
   one.going = 3;
-  EXPECT_TRUE(one.turn(10).open.empty());  // documents go in this turn
+  EXPECT_TRUE(one.turn(10).preconnects.empty());  // documents go in this turn
   one.going = 0;
-  EXPECT_EQ(one.turn(1).open.size(), 1U);
+  EXPECT_EQ(one.turn(1).preconnects.size(), 1U);
 }
 
 TEST(Warmer, RefusedGoesLaterAndEnoughCostsNothing) {
   One one(true);
-  ASSERT_EQ(one.lend(list_of({{1, 50}})).open.size() + one.turn(200).open.size(), 1U);
-  auto refused = one.turn(0, [](Warmer& w) { w.may_not(EndpointId{1}); });
-  EXPECT_EQ(one.warmer->count().opened, 0U);
-  EXPECT_TRUE(one.turn(500).open.empty());
-  ASSERT_EQ(one.turn(600).open.size(), 1U);
-  one.turn(0, [](Warmer& w) { w.enough(EndpointId{1}); });
-  EXPECT_EQ(one.warmer->count().opened, 0U);
-  ASSERT_EQ(one.turn(10).open.size(), 1U);  // the next one there
-  one.turn(1, [](Warmer& w) { w.fate(EndpointId{1}, Warmer::Fate::failed); });
-  EXPECT_EQ(one.warmer->count().failed, 1U);
-  EXPECT_TRUE(one.warmer->over());  // nothing else is listed
+  ASSERT_EQ(one.lend(list_of({{1, 50}})).preconnects.size() + one.turn(200).preconnects.size(), 1U);
+  auto refused = one.turn(0, [](Warmer& w) { w.on_preconnect_refused(EndpointId{1}); });
+  EXPECT_EQ(one.warmer->stats().opened, 0U);
+  EXPECT_TRUE(one.turn(500).preconnects.empty());
+  ASSERT_EQ(one.turn(600).preconnects.size(), 1U);
+  one.turn(0, [](Warmer& w) { w.on_preconnect_unneeded(EndpointId{1}); });
+  EXPECT_EQ(one.warmer->stats().opened, 0U);
+  ASSERT_EQ(one.turn(10).preconnects.size(), 1U);  // the next one there
+  one.turn(1, [](Warmer& w) { w.on_connection_event(EndpointId{1}, Warmer::ConnectionEvent::failed); });
+  EXPECT_EQ(one.warmer->stats().failed, 1U);
+  EXPECT_TRUE(one.warmer->is_finished());  // nothing else is listed
   // It never starts again.
-  one.turn(20000, [](Warmer& w) { w.heard(MemberId(2), list_of({{1, 50}})); });
-  EXPECT_TRUE(one.last.open.empty() && one.last.sends.empty() && one.warmer->over());
+  one.turn(20000, [](Warmer& w) { w.on_message(MemberId(2), list_of({{1, 50}})); });
+  EXPECT_TRUE(one.last.preconnects.empty() && one.last.sends.empty() && one.warmer->is_finished());
 }
 
 TEST(Warmer, BodiesWithinTheirBytes) {
   One one(true);
-  WarmMessage message = list_of({});
+  WarmupMessage message = list_of({});
   for (std::uint64_t id = 0; id < 8; ++id)
-    message.list.push_back({Sort::key, id, 10.0 - static_cast<double>(id), 0, 0});
-  message.key_uses = 60;
-  EXPECT_EQ(one.lend(message).load.size(), 8U);
-  EXPECT_EQ(one.last.load.front(), 0U);
+    message.items.push_back({ItemKind::key, id, 10.0 - static_cast<double>(id), 0, 0});
+  message.key_rate = 60;
+  EXPECT_EQ(one.lend(message).bodies_to_load.size(), 8U);
+  EXPECT_EQ(one.last.bodies_to_load.front(), 0U);
   one.turn(1, [](Warmer& w) {
-    for (int i = 0; i < 8; ++i) w.loaded(100);
+    for (int i = 0; i < 8; ++i) w.on_body_loaded(100);
   });
-  EXPECT_TRUE(one.warmer->over());
+  EXPECT_TRUE(one.warmer->is_finished());
 
   One small(true, {2, 16, 64, 1000, 10000, 10000});
-  for (std::uint64_t id = 8; id < 60; ++id) message.list.push_back({Sort::key, id, 0.5, 0, 0});
-  message.key_uses = 90;
-  EXPECT_EQ(small.lend(message).load.size(), 16U);
+  for (std::uint64_t id = 8; id < 60; ++id) message.items.push_back({ItemKind::key, id, 0.5, 0, 0});
+  message.key_rate = 90;
+  EXPECT_EQ(small.lend(message).bodies_to_load.size(), 16U);
   small.turn(1, [](Warmer& w) {
-    for (int i = 0; i < 16; ++i) w.loaded(100);
+    for (int i = 0; i < 16; ++i) w.on_body_loaded(100);
   });
-  EXPECT_TRUE(small.last.load.empty() && small.warmer->over());
+  EXPECT_TRUE(small.last.bodies_to_load.empty() && small.warmer->is_finished());
 }
 
 TEST(Warmer, LendsBoundedly) {
   One one(false);
-  EXPECT_TRUE(one.warmer->over());
+  EXPECT_TRUE(one.warmer->is_finished());
   for (int i = 0; i < 1000; ++i)
-    one.turn(10, [&](Warmer& w) { w.used(Sort::endpoint, static_cast<std::uint64_t>(i % 3 ? 1 : i), 30); });
-  WarmMessage asks;
-  asks.asks = true;
+    one.turn(10, [&](Warmer& w) {
+      w.record_use(ItemKind::endpoint, static_cast<std::uint64_t>(i % 3 ? 1 : i), 30);
+    });
+  WarmupMessage asks;
+  asks.is_request = true;
   int answers = 0;
   for (int i = 0; i < 100; ++i)
     for (const auto& send :
-         one.turn(10, [&](Warmer& w) { w.heard(MemberId(2), asks), w.heard(MemberId(99), asks); }).sends) {
+         one.turn(10, [&](Warmer& w) { w.on_message(MemberId(2), asks), w.on_message(MemberId(99), asks); })
+             .sends) {
       ++answers;
       EXPECT_EQ(send.to, MemberId(2));
-      EXPECT_EQ(unbelievable(send.message, 8), "");
-      EXPECT_LE(send.message.list.size(), 8U);
-      EXPECT_EQ(send.message.list.front().id, 1U);
-      EXPECT_NEAR(send.message.list.front().uses, 66, 10);
-      EXPECT_NEAR(send.message.list.front().took, 30, 0.01);
-      EXPECT_GE(send.message.serving, 10000);
+      EXPECT_EQ(validation_error(send.message, 8), "");
+      EXPECT_LE(send.message.items.size(), 8U);
+      EXPECT_EQ(send.message.items.front().id, 1U);
+      EXPECT_NEAR(send.message.items.front().rate, 66, 10);
+      EXPECT_NEAR(send.message.items.front().mean_duration, 30, 0.01);
+      EXPECT_GE(send.message.serving_time, 10000);
     }
   EXPECT_EQ(answers, 1);
-  one.turn(0, [](Warmer& w) { w.stalled(); });
-  auto after = one.turn(1000, [&](Warmer& w) { w.heard(MemberId(3), asks); }).sends;
+  one.turn(0, [](Warmer& w) { w.on_stall(); });
+  auto after = one.turn(1000, [&](Warmer& w) { w.on_message(MemberId(3), asks); }).sends;
   ASSERT_EQ(after.size(), 1U);
-  EXPECT_LE(after[0].message.serving, 1000);
+  EXPECT_LE(after[0].message.serving_time, 1000);
 }
 
 // --- Connections opened ahead, on loopback.
@@ -815,11 +824,11 @@
   std::unique_ptr<Store> store;
   Says decision;
   std::map<EndpointId, EndpointEntry> known;
-  std::optional<peer::Around> around;
+  std::optional<peer::RelayContext> around;
   peer::FleetConfig fleet;
   std::unique_ptr<fleet::Membership> membership;
   std::unique_ptr<peer::Link> link;
-  std::unique_ptr<peer::Part> part;
+  std::unique_ptr<peer::FleetComponent> part;
 
   Host(EventLoop& loop, Endpoints& endpoints_of, const peer::FleetConfig& config_of, const char* name)
       : endpoints(endpoints_of), fleet(config_of) {
@@ -828,15 +837,17 @@
     store = std::make_unique<Store>(folder, 1 << 20);
     config.settings.slots = 8, config.idle_timeout = 10000;
     fleet.self = MemberId(fnv1a_hash(name)), fleet.self_name = name;
-    around.emplace(peer::Around{
+    around.emplace(peer::RelayContext{
         loop, decision, *store, endpoints, config, known, [this] { ++decision.turns; }, {}, {}, {}, {}, {}});
     membership = std::make_unique<AllAlive>(fleet.roster);
     link = std::make_unique<peer::Link>(loop, fleet, fleet::Incarnation{5, 5}, 1);
-    part = peer::make_warm({*around, fleet, *membership, *link, {5, 5}, folder, 1});
+    part = peer::make_warmup({*around, fleet, *membership, *link, {5, 5}, folder, 1});
     link->on_message = [this](MemberId from, peer::Channel, std::string_view bytes) {
-      part->heard(from, bytes);
+      part->on_message(from, bytes);
+    };
+    link->on_link_change = [this](MemberId peer, fleet::Incarnation life, bool up) {
+      part->on_link_change(peer, life, up);
     };
-    link->on_peer = [this](MemberId peer, fleet::Incarnation life, bool up) { part->linked(peer, life, up); };
   }
   ~Host() {
     part.reset(), link.reset(), store.reset();
@@ -845,22 +856,23 @@
   void outcome(std::uint64_t endpoint, Millis took) {
     Outcome outcome;
     outcome.endpoint = EndpointId{endpoint}, outcome.duration = took;
-    part->outcome(outcome);
+    part->on_outcome(outcome);
   }
 };
 
 TEST(WarmHost, BorrowsAsksAndOpensOnlyWhatItsOwnListHas) {
   Lines lines(64);
   peer::FleetConfig config;
-  config.fleet = "test", config.queue_bytes = config.frame_bytes = 1 << 20;
+  config.fleet_name = "test", config.max_queue_bytes = config.max_frame_bytes = 1 << 20;
   std::map<std::string, ReservedPort> ports;
   for (const char* name : {"a", "b"}) {
     config.roster.push_back({MemberId(fnv1a_hash(name)), name, "h0"});
-    config.places[MemberId(fnv1a_hash(name))] = {"127.0.0.1", ports[name].port()};
+    config.addresses[MemberId(fnv1a_hash(name))] = {"127.0.0.1", ports[name].port()};
   }
   std::ranges::sort(config.roster, {}, &fleet::Member::id);
-  config.warm = true, config.warm_neighbours = 2, config.warm_connections = 16, config.list_most = 32;
-  config.warm_within = 10000;
+  config.warmup_enabled = true, config.warmup_max_neighbours = 2, config.warmup_max_connections = 16,
+  config.warmup_max_list_items = 32;
+  config.warmup_time_limit = 10000;
 
   Endpoints others(lines.loop, {500, 0, 64});
   others.set_address(EndpointId{1}, {"127.0.0.1", lines.port});
@@ -884,9 +896,9 @@
   EXPECT_LE(lines.endpoints.connections(EndpointId{1}), 4);  // one list alone has a quarter of the budget
   EXPECT_EQ(lines.endpoints.connections(EndpointId{2}), 0);
   lines.endpoints.call(EndpointId{1}, {{DocId{1}, 0, 300, "id", "", "body"}});
-  EXPECT_NE(newcomer.part->figures().find("used 1, failed 0, unused 0"), std::string::npos);
-  EXPECT_EQ(lender.part->figures(), "warm: opened 0, used 0, failed 0, unused 0");
-  EXPECT_THROW(newcomer.part->heard(MemberId(fnv1a_hash("a")), "rubbish"), fleet::BadMessage);
+  EXPECT_NE(newcomer.part->summary().find("used 1, failed 0, unused 0"), std::string::npos);
+  EXPECT_EQ(lender.part->summary(), "warm: opened 0, used 0, failed 0, unused 0");
+  EXPECT_THROW(newcomer.part->on_message(MemberId(fnv1a_hash("a")), "rubbish"), fleet::BadMessage);
 }
 
 }  // namespace
