--- a/src/latest/compaction.cpp
+++ b/src/latest/compaction.cpp
@@ -1,5 +1,5 @@
-// The rules of compaction, with their state; compaction.h says what is owned. A segment that is being added
-// to, or holds a record younger than its stream allows to go, may never be chosen.
+// Rules of compaction and their state. A segment that is still written to, or that holds a record younger
+// than its stream's minimum compaction lag, is not chosen.
 
 #include "latest/compaction.h"
 
@@ -10,115 +10,121 @@
 namespace rockcrank::latest {
 namespace {
 
-constexpr double worth_when_short = 0.05;  // of a segment's bytes superseded, while room is short
-constexpr double short_segments = 3;       // room for so many more: less is short
-constexpr Millis again_after = 5000;       // after one that failed; doubled each time
-constexpr int doublings_most = 5;
-constexpr Millis quiet_after =
-    10000;  // one that is added to is closed and compacted too, once that is so long ago
+constexpr double min_dirty_ratio_when_low = 0.05;  // of a segment's bytes superseded, while disk space is low
+constexpr double low_space_segments = 3;  // disk space is low if fewer further segments than this fit
+constexpr Millis retry_delay = 5000;      // after a failed compaction; doubled each time
+constexpr int max_doublings = 5;
+constexpr Millis seal_after_idle =
+    10000;  // an open segment is sealed and compacted too if nothing was added for this long
 
 }  // namespace
 
-void Compaction::segment(SegmentId id, StreamId stream, bool sealed) {
+void CompactionScheduler::add_segment(SegmentId id, StreamId stream, bool sealed) {
   Segment& segment = segments_[id];
   segment.stream = stream, segment.sealed = sealed;
 }
 
-void Compaction::added(const LogLocation& place, bool live, std::uint64_t wall) {
+void CompactionScheduler::on_frame_added(const LogLocation& place, bool live, std::uint64_t wall) {
   Segment& segment = segments_[place.segment];
   segment.bytes += place.bytes, segment.live += live ? place.bytes : 0;
-  segment.youngest = std::max(segment.youngest, wall), segment.added_at = now_;
+  segment.newest_wall_time = std::max(segment.newest_wall_time, wall), segment.last_added_at = now_;
 }
 
-void Compaction::dead(SegmentId id, std::uint32_t bytes) {
+void CompactionScheduler::on_frame_dead(SegmentId id, std::uint32_t bytes) {
   if (auto found = segments_.find(id); found != segments_.end())
     found->second.live -= std::min<std::uint64_t>(found->second.live, bytes);
 }
 
-void Compaction::revived(SegmentId id, std::uint32_t bytes) {
+void CompactionScheduler::on_frame_revived(SegmentId id, std::uint32_t bytes) {
   if (auto found = segments_.find(id); found != segments_.end()) found->second.live += bytes;
 }
 
-void Compaction::ended(SegmentId id, bool done) {
-  if (stage_ == Stage::resting || id != chosen_) return;
-  stage_ = Stage::resting;
-  failures_ = done ? 0 : std::min(failures_ + 1, doublings_most);
-  rests_until_ = done ? now_ : now_ + again_after * std::exp2(failures_ - 1);
+void CompactionScheduler::on_compaction_ended(SegmentId id, bool done) {
+  if (stage_ == Stage::idle || id != current_) return;
+  stage_ = Stage::idle;
+  failures_ = done ? 0 : std::min(failures_ + 1, max_doublings);
+  retry_at_ = done ? now_ : now_ + retry_delay * std::exp2(failures_ - 1);
 }
 
-std::size_t Compaction::bytes() const {
+std::size_t CompactionScheduler::total_bytes() const {
   std::size_t sum = 0;
   for (const auto& [id, segment] : segments_) sum += segment.bytes;
   return sum;
 }
-std::size_t Compaction::live() const {
+std::size_t CompactionScheduler::live_bytes() const {
   std::size_t sum = 0;
   for (const auto& [id, segment] : segments_) sum += segment.live;
   return sum;
 }
 
-const StreamSettings* Compaction::of(const Segment& segment) const {
+const StreamSettings* CompactionScheduler::settings_of(const Segment& segment) const {
   auto found = std::ranges::find(settings_.streams, segment.stream, &StreamSettings::id);
   return found == settings_.streams.end() ? nullptr : &*found;
 }
 
-bool Compaction::is_short() const {
-  return static_cast<double>(bytes()) + short_segments * static_cast<double>(settings_.segment_bytes) >
+bool CompactionScheduler::is_disk_space_low() const {
+  return static_cast<double>(total_bytes()) +
+             low_space_segments * static_cast<double>(settings_.segment_bytes) >
          static_cast<double>(settings_.max_disk_bytes);
 }
 
-bool Compaction::aged(const Segment& segment) const {
-  auto stream = of(segment);
-  return stream && wall_ >= static_cast<double>(segment.youngest) + stream->min_compaction_lag;
+bool CompactionScheduler::is_past_min_lag(const Segment& segment) const {
+  auto stream = settings_of(segment);
+  return stream && wall_ >= static_cast<double>(segment.newest_wall_time) + stream->min_compaction_lag;
 }
 
-double Compaction::share(const Segment& segment) const {
+double CompactionScheduler::superseded_share(const Segment& segment) const {
   return segment.bytes == 0 ? 1 : 1 - static_cast<double>(segment.live) / static_cast<double>(segment.bytes);
 }
 
-// The one of which most can go; while room is short, also one of which less than its stream's share can.
-std::optional<SegmentId> Compaction::victim() const {
+// The segment with the largest superseded share. While disk space is low, a share below the stream's minimum
+// is enough.
+std::optional<SegmentId> CompactionScheduler::best_candidate() const {
   std::optional<SegmentId> best;
-  double most = 0;
-  bool is_short = this->is_short();
+  double best_share = 0;
+  bool is_short = this->is_disk_space_low();
   for (const auto& [id, segment] : segments_) {
-    auto stream = of(segment);
-    if (!stream || !aged(segment)) continue;
-    if (!segment.sealed && now_ < segment.added_at + quiet_after) continue;
-    double share = this->share(segment), worth = stream->min_dirty_ratio;
-    if (share >= (is_short ? std::min(worth, worth_when_short) : worth) && share > most)
-      best = id, most = share;
+    auto stream = settings_of(segment);
+    if (!stream || !is_past_min_lag(segment)) continue;
+    if (!segment.sealed && now_ < segment.last_added_at + seal_after_idle) continue;
+    double share = this->superseded_share(segment), min_share = stream->min_dirty_ratio;
+    if (share >= (is_short ? std::min(min_share, min_dirty_ratio_when_low) : min_share) && share > best_share)
+      best = id, best_share = share;
   }
   return best;
 }
 
-// Documents go before compaction, but not before the room that they need.
-bool Compaction::must_pause() { return stage_ == Stage::copying && waiting_ > 0 && !is_short(); }
-void Compaction::pause() { stage_ = Stage::paused; }
-bool Compaction::may_go_on() { return stage_ == Stage::paused && (waiting_ == 0 || is_short()); }
-void Compaction::go_on() { stage_ = Stage::copying; }
+// Waiting documents take precedence over compaction, unless disk space is low.
+bool CompactionScheduler::must_pause() {
+  return stage_ == Stage::copying && waiting_documents_ > 0 && !is_disk_space_low();
+}
+void CompactionScheduler::pause() { stage_ = Stage::paused; }
+bool CompactionScheduler::may_resume() {
+  return stage_ == Stage::paused && (waiting_documents_ == 0 || is_disk_space_low());
+}
+void CompactionScheduler::resume() { stage_ = Stage::copying; }
 
-// One at a time.
-bool Compaction::has_victim() {
-  return stage_ == Stage::resting && now_ >= rests_until_ && (waiting_ == 0 || is_short()) &&
-         victim().has_value();
+// One compaction at a time.
+bool CompactionScheduler::has_candidate() {
+  return stage_ == Stage::idle && now_ >= retry_at_ && (waiting_documents_ == 0 || is_disk_space_low()) &&
+         best_candidate().has_value();
 }
-void Compaction::start() { stage_ = Stage::copying, chosen_ = *victim(); }
+void CompactionScheduler::start() { stage_ = Stage::copying, current_ = *best_candidate(); }
 
-const fleet::Rule<Compaction> Compaction::rules_[] = {
-    {"paused while documents wait", &Compaction::must_pause, &Compaction::pause},
-    {"goes on", &Compaction::may_go_on, &Compaction::go_on},
-    {"a segment is worth it", &Compaction::has_victim, &Compaction::start},
+const fleet::Rule<CompactionScheduler> CompactionScheduler::rules_[] = {
+    {"pause while documents wait", &CompactionScheduler::must_pause, &CompactionScheduler::pause},
+    {"resume", &CompactionScheduler::may_resume, &CompactionScheduler::resume},
+    {"a segment is worth compacting", &CompactionScheduler::has_candidate, &CompactionScheduler::start},
 };
 
-std::optional<SegmentId> Compaction::decide(std::vector<std::string>& log) {
+std::optional<SegmentId> CompactionScheduler::decide(std::vector<std::string>& log) {
   fleet::run_until_stable(*this, rules_);
-  if (failures_ > 0 && stage_ == Stage::resting && rests_until_ > now_ && !std::exchange(told_, true))
-    log.push_back("a compaction failed, tried again in " +
-                  std::to_string(static_cast<long>(rests_until_ - now_)) + " ms");
-  if (failures_ == 0) told_ = false;
-  due_ = stage_ == Stage::copying ? now_ : now_ + 500;
-  return stage_ == Stage::copying ? std::optional(chosen_) : std::nullopt;
+  if (failures_ > 0 && stage_ == Stage::idle && retry_at_ > now_ && !std::exchange(failure_logged_, true))
+    log.push_back("compaction failed, retrying in " + std::to_string(static_cast<long>(retry_at_ - now_)) +
+                  " ms");
+  if (failures_ == 0) failure_logged_ = false;
+  wake_at_ = stage_ == Stage::copying ? now_ : now_ + 500;
+  return stage_ == Stage::copying ? std::optional(current_) : std::nullopt;
 }
 
 }  // namespace rockcrank::latest
--- a/src/latest/delivery_lease.cpp
+++ b/src/latest/delivery_lease.cpp
@@ -1,6 +1,5 @@
-// The rules by which a duty is asked for, kept, given back and taken over; duty.h says what is owned. Of two
-// that both believe to have it one is wrong about the time by more than the drift: nothing else may make that
-// so.
+// Rules by which a delivery lease is requested, renewed, released and taken over. Two relays can both believe
+// that they hold a lease only if their clocks drift by more than the stated bound.
 
 #include "latest/delivery_lease.h"
 
@@ -11,187 +10,207 @@
 namespace rockcrank::latest {
 namespace {
 
-constexpr Millis lease = 2000;     // of a vote, by the voter's clock
-constexpr double drift = 0.05;     // most by which two clocks run apart
-constexpr Millis renew = 600;      // a duty is renewed so often
-constexpr Millis ask_again = 150;  // while a majority is still lacking
-constexpr double patience = 1.5;   // leases that one further down the ring waits, for each place
+constexpr Millis lease_duration = 2000;         // duration of a vote, by the voter's clock
+constexpr double max_clock_drift = 0.05;        // largest relative drift between two clocks
+constexpr Millis renew_interval = 600;          // interval at which a held lease is renewed
+constexpr Millis request_retry_interval = 150;  // while a majority is still missing
+constexpr double takeover_delay_leases = 1.5;   // lease durations that a candidate waits, for each rank
 
 }  // namespace
 
-Duties::Duties(const fleet::Roster& roster, fleet::MemberId self) : self_(self) {
+DeliveryLeases::DeliveryLeases(const fleet::Roster& roster, fleet::MemberId self) : self_(self) {
   for (const auto& member : roster) roster_.insert(member.id);
   roster_.insert(self);
   alive_ = {self};
   majority_ = static_cast<int>(roster_.size()) / 2 + 1;
 }
 
-void Duties::begin(Millis now) {
+void DeliveryLeases::begin_turn(Millis now) {
   now_ = now;
-  // Guards against a vote given twice: what this member granted in its life before is not known any more.
-  if (quiet_until_ < 0) quiet_until_ = roster_.size() > 1 ? now + lease * (1 + drift) : now;
+  // Prevents a double vote: what this member granted in its previous incarnation is unknown.
+  if (no_votes_until_ < 0)
+    no_votes_until_ = roster_.size() > 1 ? now + lease_duration * (1 + max_clock_drift) : now;
 }
 
-void Duties::alive(const std::vector<fleet::MemberId>& members) {
+void DeliveryLeases::set_alive(const std::vector<fleet::MemberId>& members) {
   alive_ = {members.begin(), members.end()};
   alive_.insert(self_);
 }
 
-void Duties::linked(fleet::MemberId peer, bool up) {
+void DeliveryLeases::on_link_change(fleet::MemberId peer, bool up) {
   if (up) linked_.insert(peer);
   else linked_.erase(peer);
 }
 
-// Rendezvous hashing: each lane has a ring of its own, and a member that goes moves only its own lanes.
-int Duties::rank(const Subscription& lane, fleet::MemberId member) const {
-  auto place = [&](fleet::MemberId one) {
-    auto whole =
-        hash_combine(static_cast<std::uint64_t>(lane.stream), static_cast<std::uint64_t>(lane.subscriber));
-    return std::pair(hash_combine(whole, static_cast<std::uint64_t>(one)), one);
+// Rendezvous hashing: each subscription has its own order of members, and a member that leaves moves only its
+// own subscriptions.
+int DeliveryLeases::rank(const Subscription& subscription, fleet::MemberId member) const {
+  auto hash_of = [&](fleet::MemberId candidate) {
+    auto subscription_hash = hash_combine(static_cast<std::uint64_t>(subscription.stream),
+                                          static_cast<std::uint64_t>(subscription.subscriber));
+    return std::pair(hash_combine(subscription_hash, static_cast<std::uint64_t>(candidate)), candidate);
   };
-  auto own = place(member);
-  return static_cast<int>(std::ranges::count_if(alive_, [&](auto one) { return place(one) < own; }));
-}
-
-LeaseResponse Duties::vote(fleet::MemberId from, const LeaseRequest& ask) {
-  LeaseResponse grant{ask.subscription, ask.epoch, ask.requested_at, false};
-  if (!roster_.count(from)) return grant;
-  Term& term = terms_[ask.subscription];
-  term.lane = ask.subscription, term.highest = std::max(term.highest, ask.epoch);
-  if (ask.release) {
-    if (term.holder == from && term.held_epoch == ask.epoch)
-      term.held_until = std::min(term.held_until, now_);
-    return grant;
+  auto own_hash = hash_of(member);
+  return static_cast<int>(
+      std::ranges::count_if(alive_, [&](auto candidate) { return hash_of(candidate) < own_hash; }));
+}
+
+LeaseResponse DeliveryLeases::on_request(fleet::MemberId from, const LeaseRequest& request) {
+  LeaseResponse response{request.subscription, request.epoch, request.requested_at, false};
+  if (!roster_.count(from)) return response;
+  LeaseState& lease = leases_[request.subscription];
+  lease.subscription = request.subscription,
+  lease.highest_epoch = std::max(lease.highest_epoch, request.epoch);
+  if (request.release) {
+    if (lease.voted_for == from && lease.voted_epoch == request.epoch)
+      lease.voted_until = std::min(lease.voted_until, now_);
+    return response;
   }
-  if (from != self_ && rank(ask.subscription, from) < rank(ask.subscription, self_)) term.nearer_asked = now_;
-  bool free = now_ >= quiet_until_ && (term.holder == from || now_ >= term.held_until);
-  if (!free || ask.epoch < term.held_epoch) return grant.epoch = term.highest, grant;
-  term.holder = from, term.held_epoch = ask.epoch, term.held_until = now_ + lease * (1 + drift);
-  grant.granted = true;
-  return grant;
-}
-
-bool Duties::holds(const Subscription& lane, fleet::MemberId member, std::uint64_t epoch) const {
-  auto found = terms_.find(lane);
-  return found != terms_.end() && found->second.holder == member && found->second.held_epoch == epoch &&
-         now_ < found->second.held_until;
-}
-
-void Duties::granted(fleet::MemberId from, const LeaseResponse& grant) {
-  auto found = terms_.find(grant.subscription);
-  if (found == terms_.end()) return;
-  Term& term = found->second;
-  term.highest = std::max(term.highest, grant.epoch);
-  if (!term.standing || grant.requested_at > now_) return;
-  if (!grant.granted) {
-    term.refused |= now_ - grant.requested_at < lease;
+  if (from != self_ && rank(request.subscription, from) < rank(request.subscription, self_))
+    lease.better_candidate_at = now_;
+  bool available = now_ >= no_votes_until_ && (lease.voted_for == from || now_ >= lease.voted_until);
+  if (!available || request.epoch < lease.voted_epoch) return response.epoch = lease.highest_epoch, response;
+  lease.voted_for = from, lease.voted_epoch = request.epoch,
+  lease.voted_until = now_ + lease_duration * (1 + max_clock_drift);
+  response.granted = true;
+  return response;
+}
+
+bool DeliveryLeases::has_voted_for(const Subscription& subscription, fleet::MemberId member,
+                                   std::uint64_t epoch) const {
+  auto found = leases_.find(subscription);
+  return found != leases_.end() && found->second.voted_for == member && found->second.voted_epoch == epoch &&
+         now_ < found->second.voted_until;
+}
+
+void DeliveryLeases::on_response(fleet::MemberId from, const LeaseResponse& response) {
+  auto found = leases_.find(response.subscription);
+  if (found == leases_.end()) return;
+  LeaseState& lease = found->second;
+  lease.highest_epoch = std::max(lease.highest_epoch, response.epoch);
+  if (!lease.is_candidate || response.requested_at > now_) return;
+  if (!response.granted) {
+    lease.was_refused |= now_ - response.requested_at < lease_duration;
     return;
   }
-  if (grant.epoch != term.epoch) return;
-  // Counted from the moment of asking, which came before the voter's.
-  Millis& until = term.votes.try_emplace(from, -1).first->second;
-  until = std::max(until, grant.requested_at + lease * (1 - drift));
+  if (response.epoch != lease.epoch) return;
+  // Counted from the time of the request, which precedes the voter's clock start.
+  Millis& until = lease.votes.try_emplace(from, -1).first->second;
+  until = std::max(until, response.requested_at + lease_duration * (1 - max_clock_drift));
 }
 
-int Duties::votes(const Term& term, Millis now) const {
+int DeliveryLeases::valid_votes(const LeaseState& lease, Millis now) const {
   return static_cast<int>(
-      std::ranges::count_if(term.votes, [&](const auto& vote) { return now < vote.second; }));
+      std::ranges::count_if(lease.votes, [&](const auto& vote) { return now < vote.second; }));
 }
 
-bool Duties::has(const Subscription& lane, Millis now) const {
-  auto found = terms_.find(lane);
-  return found != terms_.end() && found->second.standing && votes(found->second, now) >= majority_;
+bool DeliveryLeases::is_held(const Subscription& subscription, Millis now) const {
+  auto found = leases_.find(subscription);
+  return found != leases_.end() && found->second.is_candidate && valid_votes(found->second, now) >= majority_;
 }
 
-bool Duties::yields(const Subscription& lane) const {
-  auto found = terms_.find(lane);
-  return found == terms_.end() || found->second.yielding || leaving_;
+bool DeliveryLeases::is_handing_over(const Subscription& subscription) const {
+  auto found = leases_.find(subscription);
+  return found == leases_.end() || found->second.handing_over || releasing_;
 }
 
-std::uint64_t Duties::epoch(const Subscription& lane) const {
-  auto found = terms_.find(lane);
-  return found == terms_.end() ? 0 : found->second.epoch;
+std::uint64_t DeliveryLeases::epoch(const Subscription& subscription) const {
+  auto found = leases_.find(subscription);
+  return found == leases_.end() ? 0 : found->second.epoch;
 }
 
-void Duties::send(Term& term, bool release) {
+void DeliveryLeases::broadcast(LeaseState& lease, bool release) {
   for (auto member : roster_) {
-    LeaseRequest ask{term.lane, term.epoch, now_, release};
+    LeaseRequest request{lease.subscription, lease.epoch, now_, release};
     if (member == self_) {
-      LeaseResponse grant = vote(self_, ask);
-      if (!release) granted(self_, grant);
+      LeaseResponse response = on_request(self_, request);
+      if (!release) on_response(self_, response);
     } else if (linked_.count(member)) {
-      out_.push_back({member, ask});
+      outgoing_.push_back({member, request});
     }
   }
 }
 
-bool Duties::gives_back(Term& term) {
-  return term.standing && (term.yielding || leaving_) &&
-         ((*none_out_)(term.lane) || votes(term, now_) < majority_);
+bool DeliveryLeases::may_release(LeaseState& lease) {
+  return lease.is_candidate && (lease.handing_over || releasing_) &&
+         ((*none_in_flight_)(lease.subscription) || valid_votes(lease, now_) < majority_);
 }
-void Duties::give_back(Term& term) {
-  send(term, true);
-  term.standing = term.yielding = term.refused = false, term.votes.clear();
-  term.ask_at = now_ + lease * patience;
+void DeliveryLeases::release(LeaseState& lease) {
+  broadcast(lease, true);
+  lease.is_candidate = lease.handing_over = lease.was_refused = false, lease.votes.clear();
+  lease.next_request_at = now_ + lease_duration * takeover_delay_leases;
 }
 
-// Guards against two candidates that each keep a part of the votes for ever.
-bool Duties::is_split(Term& term) { return term.standing && term.refused && votes(term, now_) < majority_; }
-void Duties::back_off(Term& term) {
-  bool renewed = term.epoch < term.highest;
-  send(term, true);
-  term.standing = term.refused = false, term.votes.clear();
-  term.ask_at = now_ + (renewed ? ask_again : drawn(0.3, 0.6) * lease * (1 + rank(term.lane, self_)));
+// Prevents two candidates from keeping part of the votes each for ever.
+bool DeliveryLeases::is_split(LeaseState& lease) {
+  return lease.is_candidate && lease.was_refused && valid_votes(lease, now_) < majority_;
+}
+void DeliveryLeases::back_off(LeaseState& lease) {
+  bool is_epoch_behind = lease.epoch < lease.highest_epoch;
+  broadcast(lease, true);
+  lease.is_candidate = lease.was_refused = false, lease.votes.clear();
+  lease.next_request_at = now_ + (is_epoch_behind ? request_retry_interval
+                                                  : random_between(0.3, 0.6) * lease_duration *
+                                                        (1 + rank(lease.subscription, self_)));
 }
 
-bool Duties::is_nearer_wanted(Term& term) {
-  return term.standing && !term.yielding && now_ - term.nearer_asked < renew && rank(term.lane, self_) > 0;
+bool DeliveryLeases::is_better_candidate_waiting(LeaseState& lease) {
+  return lease.is_candidate && !lease.handing_over && now_ - lease.better_candidate_at < renew_interval &&
+         rank(lease.subscription, self_) > 0;
 }
-void Duties::yield(Term& term) { term.yielding = true; }
+void DeliveryLeases::hand_over(LeaseState& lease) { lease.handing_over = true; }
 
-// The nearest on the ring stands at once; others only when nobody had the duty for a while, as when the
-// nearest is alive but cut off from a majority.
-bool Duties::stands(Term& term) {
-  if (term.standing || leaving_ || now_ < term.ask_at || now_ < quiet_until_) return false;
-  int place = rank(term.lane, self_);
-  return place == 0 || now_ >= std::max(term.held_until, quiet_until_) + place * patience * lease;
+// The candidate of the lowest rank stands at once. The others stand only if nobody held the lease for a
+// while, for example because the first one is alive but cut off from a majority.
+bool DeliveryLeases::may_become_candidate(LeaseState& lease) {
+  if (lease.is_candidate || releasing_ || now_ < lease.next_request_at || now_ < no_votes_until_)
+    return false;
+  int own_rank = rank(lease.subscription, self_);
+  return own_rank == 0 || now_ >= std::max(lease.voted_until, no_votes_until_) +
+                                      own_rank * takeover_delay_leases * lease_duration;
 }
-void Duties::stand(Term& term) {
-  term.standing = true, term.refused = term.yielding = false, term.votes.clear();
-  term.epoch = ++term.highest, term.ask_at = now_;
+void DeliveryLeases::become_candidate(LeaseState& lease) {
+  lease.is_candidate = true, lease.was_refused = lease.handing_over = false, lease.votes.clear();
+  lease.epoch = ++lease.highest_epoch, lease.next_request_at = now_;
 }
 
-bool Duties::asks(Term& term) { return term.standing && !term.yielding && now_ >= term.ask_at; }
-void Duties::ask(Term& term) {
-  send(term, false);
-  term.ask_at = now_ + (votes(term, now_) >= majority_ ? renew : ask_again);
+bool DeliveryLeases::is_request_due(LeaseState& lease) {
+  return lease.is_candidate && !lease.handing_over && now_ >= lease.next_request_at;
+}
+void DeliveryLeases::send_requests(LeaseState& lease) {
+  broadcast(lease, false);
+  lease.next_request_at =
+      now_ + (valid_votes(lease, now_) >= majority_ ? renew_interval : request_retry_interval);
 }
 
-const fleet::Rule<Duties, Duties::Term> Duties::rules_[] = {
-    {"given back once nothing is under way", &Duties::gives_back, &Duties::give_back},
-    {"votes are split", &Duties::is_split, &Duties::back_off},
-    {"one nearer wants it", &Duties::is_nearer_wanted, &Duties::yield},
-    {"stands for it", &Duties::stands, &Duties::stand},
-    {"asks, and asks on", &Duties::asks, &Duties::ask},
+const fleet::Rule<DeliveryLeases, DeliveryLeases::LeaseState> DeliveryLeases::rules_[] = {
+    {"release once nothing is in flight", &DeliveryLeases::may_release, &DeliveryLeases::release},
+    {"votes are split", &DeliveryLeases::is_split, &DeliveryLeases::back_off},
+    {"a candidate of lower rank is waiting", &DeliveryLeases::is_better_candidate_waiting,
+     &DeliveryLeases::hand_over},
+    {"become a candidate", &DeliveryLeases::may_become_candidate, &DeliveryLeases::become_candidate},
+    {"request due", &DeliveryLeases::is_request_due, &DeliveryLeases::send_requests},
 };
 
-std::vector<Duties::To> Duties::decide(const std::set<Subscription>& lanes,
-                                       const std::function<bool(const Subscription&)>& none_out,
-                                       std::minstd_rand& chance) {
-  chance_ = &chance, none_out_ = &none_out, due_ = 1e18;
-  out_.clear();
-  for (const Subscription& lane : lanes) {
-    Term& term = terms_[lane];
-    term.lane = lane;
-    fleet::run_until_stable(*this, rules_, term);
-    if (term.standing && !term.yielding) due_ = std::min(due_, term.ask_at);
-    else if (!leaving_) {
-      int place = rank(lane, self_);
-      Millis free = place == 0 ? 0 : std::max(term.held_until, quiet_until_) + place * patience * lease;
-      due_ = std::min(due_, std::max({term.ask_at, quiet_until_, free, now_ + 1}));
+std::vector<DeliveryLeases::OutgoingRequest> DeliveryLeases::decide(
+    const std::set<Subscription>& subscriptions,
+    const std::function<bool(const Subscription&)>& none_in_flight, std::minstd_rand& random) {
+  random_ = &random, none_in_flight_ = &none_in_flight, wake_at_ = 1e18;
+  outgoing_.clear();
+  for (const Subscription& subscription : subscriptions) {
+    LeaseState& lease = leases_[subscription];
+    lease.subscription = subscription;
+    fleet::run_until_stable(*this, rules_, lease);
+    if (lease.is_candidate && !lease.handing_over) wake_at_ = std::min(wake_at_, lease.next_request_at);
+    else if (!releasing_) {
+      int own_rank = rank(subscription, self_);
+      Millis available = own_rank == 0 ? 0
+                                       : std::max(lease.voted_until, no_votes_until_) +
+                                             own_rank * takeover_delay_leases * lease_duration;
+      wake_at_ = std::min(wake_at_, std::max({lease.next_request_at, no_votes_until_, available, now_ + 1}));
     }
   }
-  return std::move(out_);
+  return std::move(outgoing_);
 }
 
 }  // namespace rockcrank::latest
--- a/src/latest/latest.h
+++ b/src/latest/latest.h
@@ -1,10 +1,10 @@
-// The interface of the log per key: which versions a stream's documents get, which record is the newest of
-// its key, what a subscriber has had and gets next, when a segment is compacted and what may go. Free of I/O:
-// a host keeps the segments (peer/segments.h) and carries out what decide() answers. It must never drop the
-// newest of a key, deliver by itself (each delivery is a document of the decision module), or take a
-// subscriber back to an older version of a key. Versions: Kulkarni et al., "Logical Physical Clocks", 2014.
-// Duties are leases of a majority (Gray, Cheriton, "Leases", 1989). docs/fleet-latest.md says what is
-// promised under which faults.
+// A replicated, compacted log: keeps the newest record of each key, tracks what each subscriber has received,
+// and decides what is delivered next, which segment is compacted and which tombstones are dropped. It does no
+// I/O: the host stores the segments (peer/segments.h) and carries out the actions that decide() returns. The
+// newest record of a key is never dropped, and a subscriber never gets an older version of a key after a
+// newer one. Each delivery is handed to the decision module as a document. Versions are hybrid logical clock
+// timestamps (Kulkarni et al., "Logical Physical Clocks", 2014); delivery leases need a majority of the
+// members (Gray, Cheriton, "Leases", 1989). docs/fleet-latest.md states the guarantees under each fault.
 #pragma once
 
 #include <compare>
@@ -19,10 +19,11 @@
 
 namespace rockcrank::latest {
 
-enum class StreamId : std::uint64_t {};  // the hash of its document type's name: alike in every relay
+enum class StreamId : std::uint64_t {};  // hash of the document type's name, the same in every relay
 enum class SegmentId : std::uint32_t {};
 
-// Of a hybrid logical clock: wall time in milliseconds, a count within it, and the relay.
+// A hybrid logical clock timestamp: wall time in milliseconds, a counter within that millisecond, and the
+// relay.
 struct HybridTimestamp {
   std::uint64_t wall_time = 0;
   std::uint32_t counter = 0;
@@ -31,22 +32,23 @@
   auto fields() { return std::tie(wall_time, counter, origin); }
 };
 
-// A key by 128 bits of its text's hash, which the host takes (XXH3): two keys never meet by chance.
+// A 128-bit hash (XXH3) of the key's text, computed by the host. Collisions are treated as impossible.
 struct KeyHash {
   std::uint64_t high = 0, low = 0;
   auto operator<=>(const KeyHash&) const = default;
   auto fields() { return std::tie(high, low); }
 };
 
-// A record in a log, and between relays. The module sees its Entry only; texts and body stay with the host.
+// A record as stored in the log and sent between relays. This module sees only its RecordHeader; the texts
+// and the body stay with the host.
 struct Record {
   StreamId stream{};
   std::string key;
   HybridTimestamp timestamp;
-  std::string id, idempotency_key, tenant, body;  // of the client's document; a tombstone's body is empty
+  std::string id, idempotency_key, tenant, body;  // of the client's document; a tombstone has an empty body
   DestinationId
-      direct_destination{};        // where the document itself goes, delivered by the relay that took it on
-  std::uint64_t direct_until = 0;  // Unix time, ms: by then that has ended
+      direct_destination{};  // destination of the document itself, which the relay that accepted it delivers
+  std::uint64_t direct_until = 0;  // Unix time in ms by which that direct delivery has ended
   auto fields() {
     return std::tie(stream, key, timestamp, id, idempotency_key, tenant, body, direct_destination,
                     direct_until);
@@ -57,7 +59,7 @@
   KeyHash key;
   HybridTimestamp timestamp;
   bool tombstone = false;
-  std::uint64_t content_hash = 0;  // hash of all but the stamp
+  std::uint64_t content_hash = 0;  // hash of everything but the timestamp
   DestinationId direct_destination{};
   std::uint64_t direct_until = 0;
 };
@@ -67,8 +69,9 @@
   auto operator<=>(const LogLocation&) const = default;
 };
 
-// A subscriber's position is one mark a key: the newest version that was about to go to it, and whether it
-// has had that. Of two marks the higher stamp counts, of equal stamps "had": so copies merge in any order.
+// A subscriber's position has one entry per key: the newest version whose delivery to it was begun, and
+// whether it was delivered. Of two entries the higher timestamp wins, and with equal timestamps the delivered
+// one, so replicas merge in any order.
 struct Subscription {
   StreamId stream{};
   DestinationId subscriber{};
@@ -80,7 +83,7 @@
   KeyHash key;
   HybridTimestamp timestamp;
   bool delivered = false;
-  std::uint64_t epoch = 0;  // of the duty, where it asks for a note; 0: told only
+  std::uint64_t epoch = 0;  // lease epoch if the sender wants an acknowledgement; 0: for information only
   auto fields() { return std::tie(subscription, key, timestamp, delivered, epoch); }
 };
 
@@ -97,7 +100,8 @@
   Millis max_clock_offset = 0;
 };
 
-// A digest of all keys whose hash begins with `bits` bits of `prefix`; of a lane's marks where it names one.
+// Digest of all keys whose hash starts with `prefix_bits` bits of `prefix`; of a subscription's delivery
+// states if `of_delivery_states` is set.
 struct RangeDigest {
   Subscription subscription;
   bool of_delivery_states = false;
@@ -106,8 +110,8 @@
   std::uint64_t sum = 0, key_count = 0;
   auto fields() { return std::tie(subscription, of_delivery_states, prefix, prefix_bits, sum, key_count); }
 };
-// All that the sender holds of a small range: the other sends what is newer there, and wants what is newer
-// here.
+// All that the sender holds in a small range: the receiver sends what is newer on its side and requests what
+// is newer here.
 struct KeySummary {
   KeyHash key;
   HybridTimestamp timestamp;
@@ -124,11 +128,11 @@
   KeyHash key;
   auto fields() { return std::tie(stream, key); }
 };
-// For the duty of a lane.
+// For the delivery lease of a subscription.
 struct LeaseRequest {
   Subscription subscription;
   std::uint64_t epoch = 0;
-  Millis requested_at = 0;  // by the asker's clock, given back
+  Millis requested_at = 0;  // by the requester's clock, echoed in the response
   bool release = false;
   auto fields() { return std::tie(subscription, epoch, requested_at, release); }
 };
@@ -141,7 +145,8 @@
 };
 
 struct LatestMessage {
-  std::uint64_t sequence = 0;  // what the receiver notes, once all in it is kept; 0: not asked for
+  // acknowledged by the receiver once all of the message is stored; 0: no acknowledgement
+  std::uint64_t sequence = 0;
   std::vector<std::uint64_t> acknowledged;
   std::vector<Record> records;
   std::vector<RangeDigest> digests;
@@ -157,12 +162,12 @@
 };
 
 enum class RecordCheck : std::uint8_t {
-  newer,                  // to be kept: append it, then stored()
-  not_newer,              // this one, or a newer one of its key, is here
-  too_far_ahead,          // too far ahead of the time: VersionAhead
-  conflict_keep_local,    // CopiesDiffer, and the one here stays; the other goes aside
-  conflict_replace_local  // CopiesDiffer, and this one counts everywhere: the one here goes aside, then as
-                          // newer
+  newer,                // to be stored: append it, then call on_record_stored()
+  not_newer,            // this version, or a newer one of its key, is stored here
+  too_far_ahead,        // too far ahead of the local time: VersionAhead
+  conflict_keep_local,  // VersionConflict: the local record stays, the other one is set aside
+  // VersionConflict: the other record wins on every relay; set the local one aside, then as newer
+  conflict_replace_local
 };
 
 class CompactedLog {
@@ -171,7 +176,7 @@
     fleet::MemberId to{};
     LatestMessage message;
     std::vector<std::pair<StreamId, KeyHash>> records;  // to be read and added by the host
-    bool acknowledges = false;  // says that marks of this turn are kept: goes only if they are
+    bool acknowledges = false;  // acknowledges delivery states of this turn: send only if they were stored
   };
   struct Delivery {
     Subscription subscription;
@@ -180,17 +185,20 @@
     auto operator<=>(const Delivery&) const = default;
   };
   struct Actions {
-    std::vector<DeliveryState> delivery_states;  // to be appended before anything below; then mark_kept()
+    // to be appended before the other actions; then on_delivery_state_stored()
+    std::vector<DeliveryState> delivery_states;
     std::vector<Outgoing> sends;
-    std::vector<Delivery> deliver;   // as documents of the decision module; ended() follows for each
-    std::vector<Delivery> withdraw;  // the duty is another's: nothing more of them is sent
+    // as documents of the decision module; on_delivery_ended() follows for each
+    std::vector<Delivery> deliver;
+    std::vector<Delivery> withdraw;  // another relay has the lease: no more of their transmissions may begin
     std::vector<std::pair<StreamId, HybridTimestamp>>
-        replicated;                    // this relay's own records that another relay keeps too
-    std::optional<SegmentId> compact;  // go on copying this one: keeps(), then compacted() or not_compacted()
+        replicated;  // this relay's own records that another relay has stored too
+    // continue copying this segment, using is_live(); then on_compacted() or on_compaction_failed()
+    std::optional<SegmentId> compact;
     std::vector<std::string> log;
     Millis wake_in = -1;
   };
-  struct Usage {  // of memory and disk, for figures
+  struct Usage {  // memory and disk usage, for metrics
     std::size_t keys = 0, delivery_states = 0, memory_bytes = 0, live_bytes = 0, segment_bytes = 0,
                 segments = 0;
     std::uint64_t compacted_bytes = 0;  // written by compactions
@@ -199,44 +207,47 @@
                                             const LatestSettings& settings, std::uint64_t seed);
   virtual ~CompactedLog() = default;
 
-  // wall: Unix time, ms; used for versions and ages only. now is of the loop's clock.
+  // wall: Unix time in ms, used only for versions and ages. now: the event loop's clock.
   virtual void begin_turn(Millis now, Millis wall) = 0;
 
-  // What the folder holds, in any order, before the first decide(). sealed: nothing is appended to it any
-  // more.
-  virtual void add_segment(SegmentId id, StreamId stream, bool sealed) = 0;  // also for each new one
-  virtual void on_recovered(const RecordHeader& entry, const LogLocation& place) = 0;
-  virtual void on_recovered(const DeliveryState& mark, const LogLocation& place) = 0;
-  // A record could not be read at its place: it is not held any more, so that it comes again from others.
-  virtual void on_record_unreadable(StreamId stream, const KeyHash& key, const LogLocation& place) = 0;
+  // The contents of the folder, in any order, before the first decide(). sealed: nothing more is appended to
+  // the segment.
+  // also called for each new segment
+  virtual void add_segment(SegmentId id, StreamId stream, bool sealed) = 0;
+  virtual void on_recovered(const RecordHeader& header, const LogLocation& location) = 0;
+  virtual void on_recovered(const DeliveryState& state, const LogLocation& location) = 0;
+  // The record at this location could not be read. It counts as missing, so that other relays send it again.
+  virtual void on_record_unreadable(StreamId stream, const KeyHash& key, const LogLocation& location) = 0;
 
-  virtual void set_alive(const std::vector<fleet::MemberId>& members) = 0;  // this one included
+  virtual void set_alive(const std::vector<fleet::MemberId>& members) = 0;  // including this relay
   virtual void on_link_change(fleet::MemberId peer, bool up) = 0;
-  // The version for a document of this key taken on now, above all that is known of the key; none: this
-  // relay's clock has gone back by more than a version may lie ahead, so others would refuse it
-  // (VersionAhead).
+  // The version for a document of this key accepted now, higher than any known version of the key. None if
+  // this relay's clock went back by more than a version may lie ahead, because the other relays would refuse
+  // it (VersionAhead).
   virtual std::optional<HybridTimestamp> next_timestamp(StreamId stream, const KeyHash& key) = 0;
-  virtual RecordCheck check_record(const RecordHeader& entry) = 0;
-  // Appended. own: taken on here just now, so that it is pushed to the others.
-  virtual void on_record_stored(const RecordHeader& entry, const LogLocation& place, bool own) = 0;
-  virtual void on_delivery_state_stored(const DeliveryState& mark, const LogLocation& place) = 0;
-  // After its records were judged and stored; kept_all: none failed to be.
+  virtual RecordCheck check_record(const RecordHeader& header) = 0;
+  // The record was appended. own: it was just accepted here, so it is pushed to the other relays.
+  virtual void on_record_stored(const RecordHeader& header, const LogLocation& location, bool own) = 0;
+  virtual void on_delivery_state_stored(const DeliveryState& state, const LogLocation& location) = 0;
+  // Called after the message's records were checked and stored. kept_all: none of them failed to be stored.
   virtual void on_message(fleet::MemberId from, const LatestMessage& message, bool kept_all) = 0;
 
-  // Deliveries. delivered: the subscriber has it; else rejected, abandoned, or not handed in for want of
-  // room.
+  // Deliveries. delivered: the subscriber has it; otherwise it was rejected, abandoned, or not accepted for
+  // lack of capacity.
   virtual void on_delivery_ended(const Delivery& delivery, bool delivered) = 0;
   virtual void set_waiting_documents(
-      int waiting) = 0;  // live ones that wait in this relay, deliveries of this part left out
+      int waiting) = 0;  // live documents waiting in this relay, without deliveries of this module
   virtual void set_destination_impaired(DestinationId destination,
-                                        bool rests) = 0;  // held, shut, or returning cold
-  virtual bool has_delivery_lease(const Subscription& lane, Millis now) const = 0;
-  virtual void release_leases() = 0;  // duties are given back
+                                        // held, circuit breaker open, or in slow start after an outage
+                                        bool impaired) = 0;
+  virtual bool has_delivery_lease(const Subscription& subscription, Millis now) const = 0;
+  virtual void release_leases() = 0;  // releases the delivery leases before shutdown
 
-  // Compaction. keeps: whether a record found at this place is to be copied.
-  virtual bool is_live(const RecordHeader& entry, const LogLocation& place) const = 0;
-  virtual bool is_live(const DeliveryState& mark, SegmentId segment) const = 0;
-  // All that was to be kept stands elsewhere, which is noted: its new places count from here on.
+  // Compaction. is_live: whether a record found at this location has to be copied.
+  virtual bool is_live(const RecordHeader& header, const LogLocation& location) const = 0;
+  virtual bool is_live(const DeliveryState& state, SegmentId segment) const = 0;
+  // All live records of the segment were copied and the manifest says so: the new locations are valid from
+  // now on.
   struct Moved {
     Subscription subscription;
     bool is_delivery_state = false;
@@ -244,10 +255,10 @@
     HybridTimestamp timestamp;
     LogLocation from, to;
   };
-  using DroppedRecord = std::pair<StreamId, KeyHash>;  // of each record that was not copied
+  using DroppedRecord = std::pair<StreamId, KeyHash>;  // one for each record that was not copied
   virtual void on_compacted(SegmentId old, const std::vector<Moved>& moved,
                             const std::vector<DroppedRecord>& dropped) = 0;
-  // No room, or the disk failed: tried again later. What was copied by then stands twice.
+  // No space left, or the disk failed: retried later. What was copied until then is stored twice.
   virtual void on_compaction_failed(SegmentId old, const std::vector<Moved>& copied) = 0;
 
   virtual Actions decide() = 0;
@@ -255,12 +266,14 @@
   virtual std::optional<LogLocation> newest_location(StreamId stream, const KeyHash& key) const = 0;
   virtual std::optional<HybridTimestamp> newest_timestamp(StreamId stream, const KeyHash& key) const = 0;
   virtual std::optional<KeyHash> find_key(StreamId stream,
-                                          std::uint64_t high) const = 0;  // by half of its hash
-  virtual std::optional<DeliveryState> delivery_state(const Subscription& lane, const KeyHash& key) const = 0;
-  virtual std::uint64_t digest(StreamId stream) const = 0;  // alike where the newest of all keys are
-  virtual std::uint64_t digest(const Subscription& lane) const = 0;
+                                          std::uint64_t high) const = 0;  // by the upper half of its hash
+  virtual std::optional<DeliveryState> delivery_state(const Subscription& subscription,
+                                                      const KeyHash& key) const = 0;
+  // equal on relays that hold the same newest records
+  virtual std::uint64_t digest(StreamId stream) const = 0;
+  virtual std::uint64_t digest(const Subscription& subscription) const = 0;
   virtual bool is_caught_up(
-      const Subscription& lane) const = 0;  // all there is has been delivered; false without the duty
+      const Subscription& subscription) const = 0;  // everything has been delivered; false without the lease
   virtual Usage usage() const = 0;
 };
 
--- a/src/warm/merge.cpp
+++ b/src/warm/merge.cpp
@@ -1,4 +1,4 @@
-// The one list out of several; merge.h says by which rule, and what it must never do.
+// Validation and weighted median of popularity lists; see merge.h.
 
 #include "warm/merge.h"
 
@@ -11,116 +11,120 @@
 namespace rockcrank::warm {
 namespace {
 
-constexpr double other_hall = 0.5;
-constexpr Millis longest_use = 600000;
+constexpr double other_zone_weight = 0.5;
+constexpr Millis max_use_duration = 600000;
 
-struct Said {
+struct WeightedValue {
   double value = 0, weight = 0;
 };
 
-// The least value at which half of the weight is reached.
-double lower_median(std::vector<Said> all) {
-  std::sort(all.begin(), all.end(), [](const Said& a, const Said& b) { return a.value < b.value; });
-  double whole = 0, reached = 0;
-  for (const auto& said : all) whole += said.weight;
-  for (const auto& said : all)
-    if ((reached += said.weight) >= whole / 2 * (1 - 1e-9)) return said.value;
+// The smallest value at which half of the total weight is reached.
+double lower_median(std::vector<WeightedValue> merged_list) {
+  std::sort(merged_list.begin(), merged_list.end(),
+            [](const WeightedValue& a, const WeightedValue& b) { return a.value < b.value; });
+  double total_weight = 0, reached = 0;
+  for (const auto& weighted : merged_list) total_weight += weighted.weight;
+  for (const auto& weighted : merged_list)
+    if ((reached += weighted.weight) >= total_weight / 2 * (1 - 1e-9)) return weighted.value;
   return 0;
 }
 
-double uses_of(const WarmupMessage& message, ItemKind sort) {
-  return sort == ItemKind::endpoint ? message.endpoint_rate : message.key_rate;
+double total_rate(const WarmupMessage& message, ItemKind kind) {
+  return kind == ItemKind::endpoint ? message.endpoint_rate : message.key_rate;
 }
 
-// The uses behind a list.
-double behind(const WarmupMessage& message, ItemKind sort) {
-  return uses_of(message, sort) * std::min(message.serving_time, sketch_time_constant) / 1000;
+// The number of uses behind a list.
+double uses_behind(const WarmupMessage& message, ItemKind kind) {
+  return total_rate(message, kind) * std::min(message.serving_time, sketch_time_constant) / 1000;
 }
 
 }  // namespace
 
-// Guards against lists of a relay that is cold itself, or idle: few uses are behind them.
-bool is_eligible(const WarmupMessage& message, ItemKind sort) {
-  return behind(message, sort) >= min_uses_behind_list;
+// Excludes lists of relays that are cold or idle themselves: few uses are behind them.
+bool is_eligible(const WarmupMessage& message, ItemKind kind) {
+  return uses_behind(message, kind) >= min_uses_behind_list;
 }
 
 std::string validation_error(const WarmupMessage& message, std::size_t list_most) {
-  auto figure = [](double value) { return std::isfinite(value) && value >= 0; };
-  if (!figure(message.serving_time) || !figure(message.endpoint_rate) || !figure(message.key_rate))
-    return "a total is no figure";
+  auto is_valid_number = [](double value) { return std::isfinite(value) && value >= 0; };
+  if (!is_valid_number(message.serving_time) || !is_valid_number(message.endpoint_rate) ||
+      !is_valid_number(message.key_rate))
+    return "a total is not a finite, non-negative number";
   if (message.items.size() > list_most) return "the list is too long";
-  std::set<std::pair<ItemKind, std::uint64_t>> seen;
-  std::map<ItemKind, double> sums;
-  for (const auto& one : message.items) {
-    if (one.kind != ItemKind::endpoint && one.kind != ItemKind::key) return "a thing of no kind";
-    if (!figure(one.rate) || !figure(one.max_overestimate) || one.max_overestimate > one.rate ||
-        !figure(one.mean_duration) || one.mean_duration > longest_use)
-      return "an entry is no figure";
-    if (!seen.emplace(one.kind, one.id).second) return "an entry comes twice";
-    sums[one.kind] += one.rate - one.max_overestimate;
+  std::set<std::pair<ItemKind, std::uint64_t>> listed;
+  std::map<ItemKind, double> rate_sums;
+  for (const auto& item : message.items) {
+    if (item.kind != ItemKind::endpoint && item.kind != ItemKind::key) return "an item has an unknown kind";
+    if (!is_valid_number(item.rate) || !is_valid_number(item.max_overestimate) ||
+        item.max_overestimate > item.rate || !is_valid_number(item.mean_duration) ||
+        item.mean_duration > max_use_duration)
+      return "an item has an invalid number";
+    if (!listed.emplace(item.kind, item.id).second) return "an item is listed twice";
+    rate_sums[item.kind] += item.rate - item.max_overestimate;
   }
-  // Sure uses of parts cannot be more than those of the whole.
-  for (auto [sort, sum] : sums)
-    if (sum > 1.001 * uses_of(message, sort) + 1e-6) return "the entries are more than the whole";
+  // The guaranteed rates of the items cannot add up to more than the total.
+  for (auto [kind, sum] : rate_sums)
+    if (sum > 1.001 * total_rate(message, kind) + 1e-6) return "the rates of the items exceed the total";
   return {};
 }
 
-MergedList merge_lists(const std::vector<NeighbourList>& lists, ItemKind sort) {
-  MergedList all;
-  std::vector<std::pair<double, const WarmupMessage*>> voices;
-  for (const auto& lent : lists) {
-    if (!is_eligible(lent.message, sort)) continue;
-    double uses = behind(lent.message, sort);
-    voices.emplace_back(uses / (uses + min_uses_behind_list) * (lent.same_zone ? 1 : other_hall),
-                        &lent.message);
+MergedList merge_lists(const std::vector<NeighbourList>& lists, ItemKind kind) {
+  MergedList merged_list;
+  std::vector<std::pair<double, const WarmupMessage*>> weighted_lists;
+  for (const auto& list : lists) {
+    if (!is_eligible(list.message, kind)) continue;
+    double uses = uses_behind(list.message, kind);
+    weighted_lists.emplace_back(
+        uses / (uses + min_uses_behind_list) * (list.same_zone ? 1 : other_zone_weight), &list.message);
   }
-  all.eligible_lists = static_cast<int>(voices.size());
-  if (voices.empty()) return all;
-  // Guards against one great voice among small ones: it would be the median of itself.
+  merged_list.eligible_lists = static_cast<int>(weighted_lists.size());
+  if (weighted_lists.empty()) return merged_list;
+  // Caps the greatest weight, as one large weight among small ones would alone decide the median.
   double sum = 0;
-  auto greatest = std::max_element(voices.begin(), voices.end(),
+  auto heaviest = std::max_element(weighted_lists.begin(), weighted_lists.end(),
                                    [](const auto& a, const auto& b) { return a.first < b.first; });
-  for (const auto& voice : voices) sum += voice.first;
-  if (voices.size() > 1) greatest->first = std::min(greatest->first, sum - greatest->first);
+  for (const auto& weighted_list : weighted_lists) sum += weighted_list.first;
+  if (weighted_lists.size() > 1) heaviest->first = std::min(heaviest->first, sum - heaviest->first);
 
-  std::map<std::uint64_t, std::map<const WarmupMessage*, const PopularItem*>> named;
-  for (const auto& [weight, message] : voices)
-    for (const auto& one : message->items)
-      if (one.kind == sort) named[one.id][message] = &one;
-  std::map<const WarmupMessage*, std::vector<PopularItem>> apart;
-  std::vector<Said> totals;
-  for (const auto& [weight, message] : voices) totals.push_back({uses_of(*message, sort), weight});
-  all.total_rate = lower_median(totals);
-  for (const auto& [id, by] : named) {
-    std::vector<Said> uses, over, took;
-    for (const auto& [weight, message] : voices) {
-      auto found = by.find(message);
-      const PopularItem* one = found == by.end() ? nullptr : found->second;
-      uses.push_back({one ? one->rate : 0, weight}),
-          over.push_back({one ? one->max_overestimate : 0, weight});
-      if (one && one->mean_duration > 0) took.push_back({one->mean_duration, weight});
+  std::map<std::uint64_t, std::map<const WarmupMessage*, const PopularItem*>> reports;
+  for (const auto& [weight, message] : weighted_lists)
+    for (const auto& item : message->items)
+      if (item.kind == kind) reports[item.id][message] = &item;
+  std::map<const WarmupMessage*, std::vector<PopularItem>> excluded;
+  std::vector<WeightedValue> totals;
+  for (const auto& [weight, message] : weighted_lists) totals.push_back({total_rate(*message, kind), weight});
+  merged_list.total_rate = lower_median(totals);
+  for (const auto& [id, by_source] : reports) {
+    std::vector<WeightedValue> uses, overestimates, durations;
+    for (const auto& [weight, message] : weighted_lists) {
+      auto found = by_source.find(message);
+      const PopularItem* item = found == by_source.end() ? nullptr : found->second;
+      uses.push_back({item ? item->rate : 0, weight}),
+          overestimates.push_back({item ? item->max_overestimate : 0, weight});
+      if (item && item->mean_duration > 0) durations.push_back({item->mean_duration, weight});
     }
-    PopularItem merged{sort, id, lower_median(uses), lower_median(over), lower_median(took)};
-    if (merged.rate > 0) all.items.push_back(merged);
+    PopularItem merged_item{kind, id, lower_median(uses), lower_median(overestimates),
+                            lower_median(durations)};
+    if (merged_item.rate > 0) merged_list.items.push_back(merged_item);
     else
-      for (auto [message, one] : by) apart[message].push_back(*one);
+      for (auto [message, item] : by_source) excluded[message].push_back(*item);
   }
-  auto busiest_first = [](std::vector<PopularItem>& things) {
-    std::stable_sort(things.begin(), things.end(),
+  auto busiest_first = [](std::vector<PopularItem>& items) {
+    std::stable_sort(items.begin(), items.end(),
                      [](const PopularItem& a, const PopularItem& b) { return a.rate > b.rate; });
   };
-  busiest_first(all.items);
-  for (const auto& [weight, message] : voices) {
-    if (!apart.count(message)) continue;
-    busiest_first(apart[message]);
-    for (auto& one : apart[message]) {
-      one.rate =
-          std::min(one.rate - one.max_overestimate, all.total_rate / static_cast<double>(voices.size()));
-      one.max_overestimate = 0;
+  busiest_first(merged_list.items);
+  for (const auto& [weight, message] : weighted_lists) {
+    if (!excluded.count(message)) continue;
+    busiest_first(excluded[message]);
+    for (auto& item : excluded[message]) {
+      item.rate = std::min(item.rate - item.max_overestimate,
+                           merged_list.total_rate / static_cast<double>(weighted_lists.size()));
+      item.max_overestimate = 0;
     }
-    all.excluded_by_source.push_back(std::move(apart[message]));
+    merged_list.excluded_by_source.push_back(std::move(excluded[message]));
   }
-  return all;
+  return merged_list;
 }
 
 }  // namespace rockcrank::warm
--- a/src/warm/space_saving.cpp
+++ b/src/warm/space_saving.cpp
@@ -1,4 +1,4 @@
-// The sketch of what is used most; space_saving.h says what it owns, promises, and must never do.
+// Space-Saving with forward decay; see space_saving.h.
 
 #include "warm/space_saving.h"
 
@@ -7,52 +7,53 @@
 namespace rockcrank::warm {
 namespace {
 
-// Guards against weights that outgrow a double: counts are brought back to a newer base before e^32.
-constexpr double spans_most = 32;
+// Counts are rescaled to a newer base before their weights exceed e^32, far below the limit of a double.
+constexpr double max_time_constants = 32;
 
 }  // namespace
 
-double SpaceSaving::weight(Millis now) const { return std::exp((now - base_) / span_); }
+double SpaceSaving::weight(Millis now) const { return std::exp((now - base_time_) / time_constant_); }
 
 void SpaceSaving::move_base(Millis now) {
-  if (now - base_ <= spans_most * span_) return;
-  double shrunk = 1 / weight(now);
-  base_ = now, total_ *= shrunk;
+  if (now - base_time_ <= max_time_constants * time_constant_) return;
+  double factor = 1 / weight(now);
+  base_time_ = now, total_ *= factor;
   by_count_.clear();
-  for (auto& [id, entry] : held_) {
-    entry.count *= shrunk, entry.max_overestimate *= shrunk, entry.total_duration *= shrunk;
+  for (auto& [id, entry] : entries_) {
+    entry.count *= factor, entry.max_overestimate *= factor, entry.total_duration *= factor;
     by_count_.emplace(entry.count, id);
   }
 }
 
-void SpaceSaving::add(Millis now, std::uint64_t id, Millis took) {
-  if (most_ == 0) return;
+void SpaceSaving::add(Millis now, std::uint64_t id, Millis duration) {
+  if (capacity_ == 0) return;
   move_base(now);
-  double one = weight(now);
-  total_ += one;
-  auto found = held_.find(id);
-  if (found == held_.end() && held_.size() >= most_) {
-    // The least makes way, and its count is what the newcomer may have had unseen.
+  double use_weight = weight(now);
+  total_ += use_weight;
+  auto found = entries_.find(id);
+  if (found == entries_.end() && entries_.size() >= capacity_) {
+    // The item with the lowest count is evicted, and its count bounds how often the new one was missed.
     auto least = *by_count_.begin();
-    held_.erase(least.second), by_count_.erase(by_count_.begin());
-    found = held_.emplace(id, Entry{id, least.first, least.first, 0}).first;
-  } else if (found == held_.end()) found = held_.emplace(id, Entry{id, 0, 0, 0}).first;
+    entries_.erase(least.second), by_count_.erase(by_count_.begin());
+    found = entries_.emplace(id, Entry{id, least.first, least.first, 0}).first;
+  } else if (found == entries_.end()) found = entries_.emplace(id, Entry{id, 0, 0, 0}).first;
   else by_count_.erase({found->second.count, id});
-  found->second.count += one, found->second.total_duration += one * took;
+  found->second.count += use_weight, found->second.total_duration += use_weight * duration;
   by_count_.emplace(found->second.count, id);
 }
 
 double SpaceSaving::total(Millis now) const { return total_ / weight(now); }
 
-std::vector<SpaceSaving::Entry> SpaceSaving::top(Millis now, std::size_t most) const {
-  std::vector<Entry> all;
-  double unit = weight(now);
-  for (auto at = by_count_.rbegin(); at != by_count_.rend() && all.size() < most; ++at) {
-    Entry entry = held_.at(at->second);
-    entry.count /= unit, entry.max_overestimate /= unit, entry.total_duration /= unit;
-    all.push_back(entry);
+std::vector<SpaceSaving::Entry> SpaceSaving::top(Millis now, std::size_t limit) const {
+  std::vector<Entry> entries;
+  double scale = weight(now);
+  for (auto entry_of = by_count_.rbegin(); entry_of != by_count_.rend() && entries.size() < limit;
+       ++entry_of) {
+    Entry entry = entries_.at(entry_of->second);
+    entry.count /= scale, entry.max_overestimate /= scale, entry.total_duration /= scale;
+    entries.push_back(entry);
   }
-  return all;
+  return entries;
 }
 
 }  // namespace rockcrank::warm
--- a/tests/fleet/in_memory_disk.h
+++ b/tests/fleet/in_memory_disk.h
@@ -1,4 +1,4 @@
-// A disk in memory for tests of the log: it stops between any two steps, writes short, or is full.
+// An in-memory disk for tests of the log: it can crash at any step, write partially, or be full.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +18,7 @@
   int step_count = 0, crash_at_step = 0;  // 0: never
   bool writes_partially = false;
   std::size_t capacity = SIZE_MAX;
-  std::map<std::string, std::size_t> flushed;  // bytes of each that outlast the machine's power
+  std::map<std::string, std::size_t> flushed;  // bytes of each file that survive a power failure
   void flush() {
     flushed.clear();
     for (const auto& [name, bytes] : files) flushed[name] = bytes.size();
