--- a/src/latest/compaction.cpp
+++ b/src/latest/compaction.cpp
@@ -14,8 +14,8 @@
 constexpr double low_space_segments = 3;  // disk space is low if fewer further segments than this fit
 constexpr Millis retry_delay = 5000;      // after a failed compaction; doubled each time
 constexpr int max_doublings = 5;
-constexpr Millis seal_after_idle =
-    10000;  // an open segment is sealed and compacted too if nothing was added for this long
+// An open segment is sealed and compacted too if nothing was added for this long.
+constexpr Millis seal_after_idle = 10000;
 
 }  // namespace
 
@@ -24,9 +24,9 @@
   segment.stream = stream, segment.sealed = sealed;
 }
 
-void CompactionScheduler::on_frame_added(const LogLocation& place, bool live, std::uint64_t wall) {
-  Segment& segment = segments_[place.segment];
-  segment.bytes += place.bytes, segment.live += live ? place.bytes : 0;
+void CompactionScheduler::on_frame_added(const LogLocation& location, bool live, std::uint64_t wall) {
+  Segment& segment = segments_[location.segment];
+  segment.bytes += location.bytes, segment.live += live ? location.bytes : 0;
   segment.newest_wall_time = std::max(segment.newest_wall_time, wall), segment.last_added_at = now_;
 }
 
--- a/src/latest/latest.h
+++ b/src/latest/latest.h
@@ -191,14 +191,15 @@
     // as documents of the decision module; on_delivery_ended() follows for each
     std::vector<Delivery> deliver;
     std::vector<Delivery> withdraw;  // another relay has the lease: no more of their transmissions may begin
-    std::vector<std::pair<StreamId, HybridTimestamp>>
-        replicated;  // this relay's own records that another relay has stored too
+    // this relay's own records that another relay has stored too
+    std::vector<std::pair<StreamId, HybridTimestamp>> replicated;
     // continue copying this segment, using is_live(); then on_compacted() or on_compaction_failed()
     std::optional<SegmentId> compact;
     std::vector<std::string> log;
     Millis wake_in = -1;
   };
-  struct Usage {  // memory and disk usage, for metrics
+  // Memory and disk usage, for metrics.
+  struct Usage {
     std::size_t keys = 0, delivery_states = 0, memory_bytes = 0, live_bytes = 0, segment_bytes = 0,
                 segments = 0;
     std::uint64_t compacted_bytes = 0;  // written by compactions
@@ -211,8 +212,7 @@
   virtual void begin_turn(Millis now, Millis wall) = 0;
 
   // The contents of the folder, in any order, before the first decide(). sealed: nothing more is appended to
-  // the segment.
-  // also called for each new segment
+  // the segment. add_segment() is also called for each new segment.
   virtual void add_segment(SegmentId id, StreamId stream, bool sealed) = 0;
   virtual void on_recovered(const RecordHeader& header, const LogLocation& location) = 0;
   virtual void on_recovered(const DeliveryState& state, const LogLocation& location) = 0;
@@ -235,11 +235,10 @@
   // Deliveries. delivered: the subscriber has it; otherwise it was rejected, abandoned, or not accepted for
   // lack of capacity.
   virtual void on_delivery_ended(const Delivery& delivery, bool delivered) = 0;
-  virtual void set_waiting_documents(
-      int waiting) = 0;  // live documents waiting in this relay, without deliveries of this module
-  virtual void set_destination_impaired(DestinationId destination,
-                                        // held, circuit breaker open, or in slow start after an outage
-                                        bool impaired) = 0;
+  // Live documents that wait in this relay, without deliveries of this module.
+  virtual void set_waiting_documents(int waiting) = 0;
+  // impaired: held, circuit breaker open, or in slow start after an outage.
+  virtual void set_destination_impaired(DestinationId destination, bool impaired) = 0;
   virtual bool has_delivery_lease(const Subscription& subscription, Millis now) const = 0;
   virtual void release_leases() = 0;  // releases the delivery leases before shutdown
 
@@ -265,15 +264,15 @@
 
   virtual std::optional<LogLocation> newest_location(StreamId stream, const KeyHash& key) const = 0;
   virtual std::optional<HybridTimestamp> newest_timestamp(StreamId stream, const KeyHash& key) const = 0;
-  virtual std::optional<KeyHash> find_key(StreamId stream,
-                                          std::uint64_t high) const = 0;  // by the upper half of its hash
+  // Finds a key by the upper half of its hash.
+  virtual std::optional<KeyHash> find_key(StreamId stream, std::uint64_t high) const = 0;
   virtual std::optional<DeliveryState> delivery_state(const Subscription& subscription,
                                                       const KeyHash& key) const = 0;
   // equal on relays that hold the same newest records
   virtual std::uint64_t digest(StreamId stream) const = 0;
   virtual std::uint64_t digest(const Subscription& subscription) const = 0;
-  virtual bool is_caught_up(
-      const Subscription& subscription) const = 0;  // everything has been delivered; false without the lease
+  // Everything has been delivered; false without the lease.
+  virtual bool is_caught_up(const Subscription& subscription) const = 0;
   virtual Usage usage() const = 0;
 };
 
--- a/src/warm/space_saving.cpp
+++ b/src/warm/space_saving.cpp
@@ -47,9 +47,8 @@
 std::vector<SpaceSaving::Entry> SpaceSaving::top(Millis now, std::size_t limit) const {
   std::vector<Entry> entries;
   double scale = weight(now);
-  for (auto entry_of = by_count_.rbegin(); entry_of != by_count_.rend() && entries.size() < limit;
-       ++entry_of) {
-    Entry entry = entries_.at(entry_of->second);
+  for (auto by_rank = by_count_.rbegin(); by_rank != by_count_.rend() && entries.size() < limit; ++by_rank) {
+    Entry entry = entries_.at(by_rank->second);
     entry.count /= scale, entry.max_overestimate /= scale, entry.total_duration /= scale;
     entries.push_back(entry);
   }
--- a/tests/fleet/warm_test.cpp
+++ b/tests/fleet/warm_test.cpp
@@ -671,7 +671,7 @@
   Endpoints endpoints;
   std::vector<Endpoints::PreconnectEvent> events;
   std::vector<Outcome> outcomes;
-  std::function<bool()> condition;
+  std::function<bool()> stop_condition;
   Timer poll_timer;
   int port = 0, polls = 0, listening_socket = -1;
   bool condition_met = false;
@@ -703,11 +703,11 @@
     for (int fd : accepted) ::close(fd);
   }
   void poll() {
-    if ((condition_met = condition()) || ++polls > 5000) return loop.stop();
+    if ((condition_met = stop_condition()) || ++polls > 5000) return loop.stop();
     poll_timer.set(loop.now() + 1);
   }
   void run(std::function<bool()> condition) {
-    condition = std::move(condition), polls = 0;
+    stop_condition = std::move(condition), polls = 0;
     poll_timer.set(0);
     loop.run();
     EXPECT_TRUE(condition_met);
