--- a/src/latest/compaction.h
+++ b/src/latest/compaction.h
@@ -21,8 +21,8 @@
   void add_segment(SegmentId id, StreamId stream, bool sealed);
   // Frames: written at this location, with the wall time of the record; superseded or purged; live again.
   void on_frame_added(const LogLocation& location, bool live, std::uint64_t wall);
-  void on_frame_dead(SegmentId segment, std::uint32_t bytes);
-  void on_frame_revived(SegmentId segment, std::uint32_t bytes);
+  void on_frame_dead(SegmentId id, std::uint32_t bytes);
+  void on_frame_revived(SegmentId id, std::uint32_t bytes);
   void remove_segment(SegmentId id) { segments_.erase(id); }
   void set_waiting_documents(int waiting) { waiting_documents_ = waiting; }
   void on_compaction_ended(SegmentId id, bool done);
--- a/src/latest/latest.cpp
+++ b/src/latest/latest.cpp
@@ -576,9 +576,9 @@
     // delivery ends first.
     auto direct = stream.direct_deliveries.find({key, subscriber.subscription.subscriber});
     if (direct != stream.direct_deliveries.end()) {
-      bool over =
+      bool is_over =
           stored_state && stored_state->delivered && stored_state->timestamp >= direct->second.timestamp;
-      if (!over && static_cast<double>(direct->second.end) > wall_) {
+      if (!is_over && static_cast<double>(direct->second.end) > wall_) {
         auto& retry = subscriber.retries[key];
         retry.not_before = now_ + static_cast<double>(direct->second.end) - wall_;
         return nullptr;
@@ -593,15 +593,15 @@
   }
   int free_slots(const SubscriberState& subscriber, bool backlog) const {
     bool impaired = impaired_.count(subscriber.subscription.subscriber) > 0;
-    int most = backlog ? (waiting_documents_ > 0 ? max_backlog_while_documents_wait : max_backlog_deliveries)
-                       : max_changed_deliveries;
-    if (subscriber.failures > 0 || impaired) most = backlog && impaired ? 0 : 1;
-    if (now_ < subscriber.paused_until) most = 0;
-    int under_way = 0;
+    int limit = backlog ? (waiting_documents_ > 0 ? max_backlog_while_documents_wait : max_backlog_deliveries)
+                        : max_changed_deliveries;
+    if (subscriber.failures > 0 || impaired) limit = backlog && impaired ? 0 : 1;
+    if (now_ < subscriber.paused_until) limit = 0;
+    int in_flight = 0;
     for (const auto& [key, pending_delivery] : subscriber.pending)
-      under_way += !backlog || pending_delivery.is_backlog;
+      in_flight += !backlog || pending_delivery.is_backlog;
     if (backlog && static_cast<int>(subscriber.pending.size()) >= max_changed_deliveries) return 0;
-    return most - under_way;
+    return limit - in_flight;
   }
   void propose_delivery(SubscriberState& subscriber, const StoredRecord& record, bool backlog) {
     Delivery delivery{subscriber.subscription, record.key, record.timestamp};
@@ -708,8 +708,8 @@
       if (subscriber.pending.count(key) || subscriber.retries.count(key) ||
           subscriber.changed_keys.count(key))
         continue;
-      if (const StoredRecord* owed = this->due_record(subscriber, key))
-        return propose_delivery(subscriber, *owed, true);
+      if (const StoredRecord* due = this->due_record(subscriber, key))
+        return propose_delivery(subscriber, *due, true);
     }
   }
   static constexpr fleet::Rule<CompactedLogImpl, SubscriberState> subscriber_rules[] = {
@@ -787,17 +787,17 @@
     if (delivered_states_.empty()) return;
     for (auto& [id, peer] : peers_) {
       if (!peer.linked) continue;
-      auto& marks = message_to(id).delivery_states;
-      marks.insert(marks.end(), delivered_states_.begin(), delivered_states_.end());
+      auto& states = message_to(id).delivery_states;
+      states.insert(states.end(), delivered_states_.begin(), delivered_states_.end());
     }
     delivered_states_.clear();
   }
 
   // --- Anti-entropy: digests of ranges, then listings of small ones, then what differs.
 
-  RangeDigest digest_of(const Subscription& subscription, bool marks, std::uint64_t prefix, int bits) {
-    RangeDigest range{subscription, marks, prefix, static_cast<std::uint8_t>(bits), 0, 0};
-    if (marks) {
+  RangeDigest digest_of(const Subscription& subscription, bool of_states, std::uint64_t prefix, int bits) {
+    RangeDigest range{subscription, of_states, prefix, static_cast<std::uint8_t>(bits), 0, 0};
+    if (of_states) {
       auto sum = subscriber_state(subscription).delivery_states.sum(prefix, bits);
       range.sum = sum.sum, range.key_count = sum.key_count;
     } else {
@@ -936,7 +936,7 @@
 
   void check_tombstones() {
     for (auto& [id, stream] : streams_) {
-      std::vector<KeyHash> over;
+      std::vector<KeyHash> expired_keys;
       for (auto& [key, tombstone] : stream.tombstones) {
         const StoredRecord* record = stream.records.find(key);
         if (!record) continue;
@@ -944,10 +944,10 @@
           auto expired = *record;
           expired.expired = true, tombstone.expired_at = now_, stream.records.upsert(expired);
         } else if (record->expired && may_purge(id, stream, key, *record, tombstone)) {
-          over.push_back(key);
+          expired_keys.push_back(key);
         }
       }
-      for (const auto& key : over) purge(id, stream, key);
+      for (const auto& key : expired_keys) purge(id, stream, key);
       for (auto direct = stream.direct_deliveries.begin(); direct != stream.direct_deliveries.end();)
         direct = static_cast<double>(direct->second.end) <= wall_ ? stream.direct_deliveries.erase(direct)
                                                                   : std::next(direct);
--- a/tests/fleet/latest_test.cpp
+++ b/tests/fleet/latest_test.cpp
@@ -26,9 +26,9 @@
 
 constexpr StreamId stream{7};
 
-LatestSettings settings_for(std::vector<DestinationId> subscribers, Millis tombstone_life = 1e9) {
+LatestSettings settings_for(std::vector<DestinationId> subscribers, Millis tombstone_retention = 1e9) {
   LatestSettings settings;
-  settings.streams = {{stream, "status", std::move(subscribers), tombstone_life, 0, 0.5}};
+  settings.streams = {{stream, "status", std::move(subscribers), tombstone_retention, 0, 0.5}};
   settings.segment_bytes = 1 << 15, settings.max_disk_bytes = 1 << 22, settings.max_clock_offset = 60000;
   return settings;
 }
@@ -36,8 +36,9 @@
 // Several relays, their links and the subscribers, on one virtual clock.
 class World {
  public:
-  World(int relays, std::vector<DestinationId> subscribers, std::uint64_t seed, Millis tombstone_life = 1e9)
-      : settings_(settings_for(std::move(subscribers), tombstone_life)), random_(seed % 2147483646 + 1) {
+  World(int relays, std::vector<DestinationId> subscribers, std::uint64_t seed,
+        Millis tombstone_retention = 1e9)
+      : settings_(settings_for(std::move(subscribers), tombstone_retention)), random_(seed % 2147483646 + 1) {
     for (int i = 0; i < relays; ++i)
       roster_.push_back({MemberId(static_cast<std::uint64_t>(i) + 1), "n" + std::to_string(i + 1), "h0"});
     for (const auto& member : roster_) {
@@ -92,9 +93,9 @@
     record.body = is_tombstone ? "" : "body " + record.id;
     node.log->begin_turn(now_, wall(node));
     try {
-      auto stamp = node.log->append_local(record);
+      auto timestamp = node.log->append_local(record);
       key_names_[key_hash(record.key)] = record.key;
-      newest[record.key] = std::max(newest[record.key], stamp);
+      newest[record.key] = std::max(newest[record.key], timestamp);
     } catch (const fleet::FleetError&) { return false; }
     return true;
   }
@@ -126,13 +127,14 @@
       if (!node.log ||
           node.log->module().digest(stream) != nodes_.begin()->second.log->module().digest(stream))
         return false;
-      for (const auto& [key, stamp] : newest)
-        if (auto held = node.log->module().newest_timestamp(stream, key_hash(key)); !held || *held < stamp)
+      for (const auto& [key, timestamp] : newest)
+        if (auto newest_here = node.log->module().newest_timestamp(stream, key_hash(key));
+            !newest_here || *newest_here < timestamp)
           return false;
     }
     for (auto subscriber : settings_.streams[0].subscribers)
-      for (const auto& [key, stamp] : newest)
-        if (received[subscriber][key].empty() || received[subscriber][key].back() < stamp) return false;
+      for (const auto& [key, timestamp] : newest)
+        if (received[subscriber][key].empty() || received[subscriber][key].back() < timestamp) return false;
     return true;
   }
   bool converge(Millis within) {
@@ -176,8 +178,8 @@
 
   void run_turn(MemberId id, Node& node) {
     node.log->begin_turn(now_, wall(node));
-    auto decided = node.log->decide();
-    for (auto& [to, message] : decided.sends) {
+    auto actions = node.log->decide();
+    for (auto& [to, message] : actions.sends) {
       if (random_between(0, 1) < loss) continue;
       auto delay = random_between(1, 40);
       // In order or not at all, as on a real link.
@@ -186,9 +188,9 @@
       bytes += packed(message).size();
       in_transit_.emplace(last, std::tuple(id, to, std::move(message)));
     }
-    for (const auto& withdrawn : decided.withdraw)
+    for (const auto& withdrawn : actions.withdraw)
       std::erase_if(node.in_flight, [&](const auto& one) { return one.second == withdrawn; });
-    for (const auto& delivery : decided.deliver)
+    for (const auto& delivery : actions.deliver)
       node.in_flight.push_back({now_ + random_between(0, 150), delivery});
     for (std::size_t i = 0; i < node.in_flight.size();) {
       auto [arrival, delivery] = node.in_flight[i];
--- a/tests/fleet/warm_test.cpp
+++ b/tests/fleet/warm_test.cpp
@@ -269,19 +269,19 @@
     };
     std::map<std::pair<int, int>, int> answers;
     std::uint64_t met_by_others = 0;
-    auto open = [&](int i, const Warmer::Preconnect& ahead) {
+    auto open = [&](int i, const Warmer::Preconnect& preconnect) {
       Relay& relay = at(i);
-      auto e = static_cast<int>(ahead.endpoint);
+      auto e = static_cast<int>(preconnect.endpoint);
       int up = static_cast<int>(relay.idle[e].size()) + relay.busy[e];
-      if (up >= ahead.max_connections) return relay.warmer->on_preconnect_unneeded(ahead.endpoint);
-      if (!may_preconnect) return relay.warmer->on_preconnect_refused(ahead.endpoint);
+      if (up >= preconnect.max_connections) return relay.warmer->on_preconnect_unneeded(preconnect.endpoint);
+      if (!may_preconnect) return relay.warmer->on_preconnect_refused(preconnect.endpoint);
       auto& many = results.handshakes[{e, static_cast<int>(now / 1000)}];
       results.busiest_second = std::max(results.busiest_second, ++many);
-      later(2, [&, i, e, ahead] {
+      later(2, [&, i, e, preconnect] {
         if (connects) at(i).idle[e].insert(at(i).idle[e].begin(), {now, true});
         with(i, [&](Warmer& w) {
-          w.on_connection_event(ahead.endpoint, connects ? Warmer::ConnectionEvent::connected
-                                                         : Warmer::ConnectionEvent::failed);
+          w.on_connection_event(preconnect.endpoint, connects ? Warmer::ConnectionEvent::connected
+                                                              : Warmer::ConnectionEvent::failed);
         });
       });
     };
@@ -290,9 +290,9 @@
       ++results.turns;
       relay.warmer->set_load(0, 32);
       relay.warmer->set_state_known(true);
-      auto decided = relay.warmer->decide();
-      for (auto& line : decided.log) results.log.push_back(numbered_name("n", i).append(" ") + line);
-      for (auto& send : decided.sends) {
+      auto actions = relay.warmer->decide();
+      for (auto& line : actions.log) results.log.push_back(numbered_name("n", i).append(" ") + line);
+      for (auto& send : actions.sends) {
         int to = place.at(send.to);
         results.requests += send.message.is_request;
         if (!send.message.is_request)
@@ -311,12 +311,12 @@
             with(to, [&](Warmer& w) { w.on_message(roster[static_cast<std::size_t>(i)].id, message); });
           });
       }
-      for (const auto& ahead : decided.preconnects) open(i, ahead);
-      if (decided.wake_in < 0 || relay.warmer->is_finished()) return;
-      Millis wake = now + decided.wake_in;
+      for (const auto& preconnect : actions.preconnects) open(i, preconnect);
+      if (actions.wake_in < 0 || relay.warmer->is_finished()) return;
+      Millis wake = now + actions.wake_in;
       if (wake < relay.wake_at || relay.wake_at <= now) {
         relay.wake_at = wake;
-        later(decided.wake_in, [&, i, wake] {
+        later(actions.wake_in, [&, i, wake] {
           if (at(i).wake_at == wake) at(i).wake_at = 1e18, with(i, [](Warmer&) {});
         });
       }
@@ -327,9 +327,9 @@
       auto& idle = relay.idle[e];
       // As endpoints.cpp does: closed after too long an idle time.
       while (!idle.empty() && now - idle.front().first > budget.idle_timeout) {
-        bool ahead = idle.front().second;
+        bool preconnect = idle.front().second;
         idle.erase(idle.begin());
-        if (ahead)
+        if (preconnect)
           with(i, [&](Warmer& w) {
             w.on_connection_event(EndpointId(static_cast<std::uint64_t>(e)), Warmer::ConnectionEvent::unused);
           });
@@ -390,7 +390,7 @@
       results.stats.opened += count.opened, results.stats.used += count.used;
       results.stats.failed += count.failed, results.stats.unused += count.unused;
       for (const auto& [e, idle] : relay.idle)
-        for (auto [since, ahead] : idle) results.stats.unused += ahead;  // not used until the end
+        for (auto [since, preconnect] : idle) results.stats.unused += preconnect;  // not used until the end
     }
     return results;
   }
@@ -717,69 +717,69 @@
 using PreconnectEvent = Endpoints::PreconnectEvent;
 
 TEST(Preconnect, StaysIdleUntilItIsUsed) {
-  LoopbackServer lines;
-  ASSERT_TRUE(lines.endpoints.preconnect(EndpointId{1}));
-  EXPECT_EQ(lines.endpoints.connections(EndpointId{1}), 1);
-  lines.run([&] { return lines.events.size() == 1 && lines.accepted.size() == 1; });
-  EXPECT_EQ(lines.events[0], PreconnectEvent::connected);
-  lines.endpoints.call(EndpointId{1}, {{DocId{1}, 0, 300, "id", "", "body"}});
-  EXPECT_EQ(lines.events.back(), PreconnectEvent::used);
-  EXPECT_EQ(lines.endpoints.connections(), 1U);  // no second one
-  lines.run([&] {
+  LoopbackServer server;
+  ASSERT_TRUE(server.endpoints.preconnect(EndpointId{1}));
+  EXPECT_EQ(server.endpoints.connections(EndpointId{1}), 1);
+  server.run([&] { return server.events.size() == 1 && server.accepted.size() == 1; });
+  EXPECT_EQ(server.events[0], PreconnectEvent::connected);
+  server.endpoints.call(EndpointId{1}, {{DocId{1}, 0, 300, "id", "", "body"}});
+  EXPECT_EQ(server.events.back(), PreconnectEvent::used);
+  EXPECT_EQ(server.endpoints.connections(), 1U);  // no second one
+  server.run([&] {
     char bytes[512];
-    return recv(lines.accepted[0], bytes, sizeof bytes, MSG_DONTWAIT) > 0;
+    return recv(server.accepted[0], bytes, sizeof bytes, MSG_DONTWAIT) > 0;
   });
   const char answer[] = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-  EXPECT_GT(send(lines.accepted[0], answer, sizeof answer - 1, 0), 0);
-  lines.run([&] { return lines.outcomes.size() == 1; });
-  EXPECT_EQ(lines.outcomes[0].result, TransmissionResult::answered);
-  EXPECT_GT(lines.outcomes[0].connection_idle_time, 0);
-  EXPECT_EQ(lines.events.size(), 2U);
+  EXPECT_GT(send(server.accepted[0], answer, sizeof answer - 1, 0), 0);
+  server.run([&] { return server.outcomes.size() == 1; });
+  EXPECT_EQ(server.outcomes[0].result, TransmissionResult::answered);
+  EXPECT_GT(server.outcomes[0].connection_idle_time, 0);
+  EXPECT_EQ(server.events.size(), 2U);
 }
 
 TEST(Preconnect, ACallTakesAConnectingOne) {
-  LoopbackServer lines;
-  ASSERT_TRUE(lines.endpoints.preconnect(EndpointId{1}));
-  lines.endpoints.call(EndpointId{1}, {{DocId{1}, 0, 300, "id", "", "body"}});
-  EXPECT_EQ(lines.endpoints.connections(), 1U);
-  ASSERT_EQ(lines.events, std::vector{PreconnectEvent::used});
-  lines.run([&] {
+  LoopbackServer server;
+  ASSERT_TRUE(server.endpoints.preconnect(EndpointId{1}));
+  server.endpoints.call(EndpointId{1}, {{DocId{1}, 0, 300, "id", "", "body"}});
+  EXPECT_EQ(server.endpoints.connections(), 1U);
+  ASSERT_EQ(server.events, std::vector{PreconnectEvent::used});
+  server.run([&] {
     char bytes[512];
-    return lines.accepted.size() == 1 && recv(lines.accepted[0], bytes, sizeof bytes, MSG_DONTWAIT) > 0;
+    return server.accepted.size() == 1 && recv(server.accepted[0], bytes, sizeof bytes, MSG_DONTWAIT) > 0;
   });
 }
 
 TEST(Preconnect, ReportsUnusedConnections) {
-  LoopbackServer lines;
-  ASSERT_TRUE(lines.endpoints.preconnect(EndpointId{1}));
-  lines.run([&] { return lines.endpoints.connections() == 0; });  // idle for the maximum time
-  EXPECT_EQ(lines.events, (std::vector{PreconnectEvent::connected, PreconnectEvent::unused}));
-  lines.events.clear();
-  ASSERT_TRUE(lines.endpoints.preconnect(EndpointId{1}));
-  lines.run([&] { return lines.accepted.size() == 2 && lines.events.size() == 1; });
-  ::close(std::exchange(lines.accepted[1], -1));  // by the endpoint
-  lines.run([&] { return lines.events.size() == 2; });
-  EXPECT_EQ(lines.events[1], PreconnectEvent::unused);
-  lines.events.clear(), lines.listener.reset(), ::close(std::exchange(lines.listening_socket, -1));
-  bool opened = lines.endpoints.preconnect(EndpointId{1});  // refused, at once or a moment later
-  if (opened) lines.run([&] { return !lines.events.empty(); });
-  EXPECT_TRUE(!opened || lines.events == std::vector{PreconnectEvent::failed});
-  EXPECT_FALSE(lines.endpoints.preconnect(EndpointId{9}));  // no address
+  LoopbackServer server;
+  ASSERT_TRUE(server.endpoints.preconnect(EndpointId{1}));
+  server.run([&] { return server.endpoints.connections() == 0; });  // idle for the maximum time
+  EXPECT_EQ(server.events, (std::vector{PreconnectEvent::connected, PreconnectEvent::unused}));
+  server.events.clear();
+  ASSERT_TRUE(server.endpoints.preconnect(EndpointId{1}));
+  server.run([&] { return server.accepted.size() == 2 && server.events.size() == 1; });
+  ::close(std::exchange(server.accepted[1], -1));  // by the endpoint
+  server.run([&] { return server.events.size() == 2; });
+  EXPECT_EQ(server.events[1], PreconnectEvent::unused);
+  server.events.clear(), server.listener.reset(), ::close(std::exchange(server.listening_socket, -1));
+  bool opened = server.endpoints.preconnect(EndpointId{1});  // refused, at once or a moment later
+  if (opened) server.run([&] { return !server.events.empty(); });
+  EXPECT_TRUE(!opened || server.events == std::vector{PreconnectEvent::failed});
+  EXPECT_FALSE(server.endpoints.preconnect(EndpointId{9}));  // no address
 }
 
 TEST(Preconnect, StaysWithinTheConnectionLimit) {
-  LoopbackServer lines(2);
-  EXPECT_TRUE(lines.endpoints.preconnect(EndpointId{1}));
-  EXPECT_TRUE(lines.endpoints.preconnect(EndpointId{1}));
-  EXPECT_FALSE(lines.endpoints.preconnect(EndpointId{1}));
-  EXPECT_EQ(lines.endpoints.connections(), 2U);
+  LoopbackServer server(2);
+  EXPECT_TRUE(server.endpoints.preconnect(EndpointId{1}));
+  EXPECT_TRUE(server.endpoints.preconnect(EndpointId{1}));
+  EXPECT_FALSE(server.endpoints.preconnect(EndpointId{1}));
+  EXPECT_EQ(server.endpoints.connections(), 2U);
   // A document's call gets its connection nevertheless.
-  lines.endpoints.set_address(EndpointId{2}, {"127.0.0.1", lines.port});
-  lines.endpoints.call(EndpointId{2}, {{DocId{1}, 0, 300, "id", "", "body"}});
-  lines.run([&] { return lines.events.size() == 2; });
-  EXPECT_EQ(std::count(lines.events.begin(), lines.events.end(), PreconnectEvent::failed),
+  server.endpoints.set_address(EndpointId{2}, {"127.0.0.1", server.port});
+  server.endpoints.call(EndpointId{2}, {{DocId{1}, 0, 300, "id", "", "body"}});
+  server.run([&] { return server.events.size() == 2; });
+  EXPECT_EQ(std::count(server.events.begin(), server.events.end(), PreconnectEvent::failed),
             1);  // evicted while connecting
-  EXPECT_EQ(lines.endpoints.connections(), 2U);
+  EXPECT_EQ(server.endpoints.connections(), 2U);
 }
 
 // --- The host: two members on real links; the new relay's decision module is a stub.
@@ -882,7 +882,7 @@
 };
 
 TEST(WarmHost, PreconnectsOnlyToEndpointsThatItKnows) {
-  LoopbackServer lines(64);
+  LoopbackServer server(64);
   peer::FleetConfig config;
   config.fleet_name = "test", config.max_queue_bytes = config.max_frame_bytes = 1 << 20;
   std::map<std::string, ReservedPort> ports;
@@ -895,31 +895,32 @@
   config.warmup_max_list_items = 32;
   config.warmup_time_limit = 10000;
 
-  Endpoints others(lines.loop, {500, 0, 64});
-  others.set_address(EndpointId{1}, {"127.0.0.1", lines.port});
+  Endpoints others(server.loop, {500, 0, 64});
+  others.set_address(EndpointId{1}, {"127.0.0.1", server.port});
   ASSERT_TRUE(others.preconnect(EndpointId{1}));  // the lender has a connection: it is not cold
-  TestHost lender(lines.loop, others, config, "a"), newcomer(lines.loop, lines.endpoints, config, "b");
-  lines.endpoints.set_address(EndpointId{2}, {"127.0.0.1", lines.port});
-  newcomer.known[EndpointId{1}] = newcomer.known[EndpointId{2}] = {};
-  newcomer.decision.allowed_endpoints = {EndpointId{1}};
-  lender.part->start();
-  for (int i = 0; i < 9000; ++i) lender.outcome(i % 3 == 0 ? 1 : i % 3 == 1 ? 2 : 7, 0.01 + 1e-6 * i);
-  auto began = lines.loop.now();
-  lines.run(
-      [&] { return lines.loop.now() > began + 50; });  // the rate and the elapsed time make the list eligible
-  newcomer.part->start();
-  lines.run([&] { return newcomer.decision.queries.size() >= 3; });
+  TestHost neighbour(server.loop, others, config, "a"), new_relay(server.loop, server.endpoints, config, "b");
+  server.endpoints.set_address(EndpointId{2}, {"127.0.0.1", server.port});
+  new_relay.known[EndpointId{1}] = new_relay.known[EndpointId{2}] = {};
+  new_relay.decision.allowed_endpoints = {EndpointId{1}};
+  neighbour.part->start();
+  for (int i = 0; i < 9000; ++i) neighbour.outcome(i % 3 == 0 ? 1 : i % 3 == 1 ? 2 : 7, 0.01 + 1e-6 * i);
+  auto began = server.loop.now();
+  server.run([&] {
+    return server.loop.now() > began + 50;
+  });  // the rate and the elapsed time make the list eligible
+  new_relay.part->start();
+  server.run([&] { return new_relay.decision.queries.size() >= 3; });
   std::set<EndpointId> asked;
-  for (auto [endpoint, up] : newcomer.decision.queries) asked.insert(endpoint);
+  for (auto [endpoint, up] : new_relay.decision.queries) asked.insert(endpoint);
   EXPECT_EQ(asked, (std::set{EndpointId{1}, EndpointId{2}}));  // not the one that is unknown here
-  EXPECT_GT(newcomer.decision.turns, 0);
-  EXPECT_GE(lines.endpoints.connections(EndpointId{1}), 1);
-  EXPECT_LE(lines.endpoints.connections(EndpointId{1}), 4);  // a single list gets a quarter of the budget
-  EXPECT_EQ(lines.endpoints.connections(EndpointId{2}), 0);
-  lines.endpoints.call(EndpointId{1}, {{DocId{1}, 0, 300, "id", "", "body"}});
-  EXPECT_NE(newcomer.part->summary().find("used 1, failed 0, unused 0"), std::string::npos);
-  EXPECT_EQ(lender.part->summary(), "warm: opened 0, used 0, failed 0, unused 0");
-  EXPECT_THROW(newcomer.part->on_message(MemberId(fnv1a_hash("a")), "rubbish"), fleet::BadMessage);
+  EXPECT_GT(new_relay.decision.turns, 0);
+  EXPECT_GE(server.endpoints.connections(EndpointId{1}), 1);
+  EXPECT_LE(server.endpoints.connections(EndpointId{1}), 4);  // a single list gets a quarter of the budget
+  EXPECT_EQ(server.endpoints.connections(EndpointId{2}), 0);
+  server.endpoints.call(EndpointId{1}, {{DocId{1}, 0, 300, "id", "", "body"}});
+  EXPECT_NE(new_relay.part->summary().find("used 1, failed 0, unused 0"), std::string::npos);
+  EXPECT_EQ(neighbour.part->summary(), "warm: opened 0, used 0, failed 0, unused 0");
+  EXPECT_THROW(new_relay.part->on_message(MemberId(fnv1a_hash("a")), "rubbish"), fleet::BadMessage);
 }
 
 }  // namespace
