--- a/tests/fleet/warm_test.cpp
+++ b/tests/fleet/warm_test.cpp
@@ -268,7 +268,7 @@
       turn(i);
     };
     std::map<std::pair<int, int>, int> answers;
-    std::uint64_t met_by_others = 0;
+    std::uint64_t waited_for_by_others = 0;
     auto open = [&](int i, const Warmer::Preconnect& preconnect) {
       Relay& relay = at(i);
       auto e = static_cast<int>(preconnect.endpoint);
@@ -336,7 +336,7 @@
       }
       if (idle.empty()) {
         if (new_relays.count(i)) ++results.handshakes_waited_for;
-        else if (now >= 60000) ++met_by_others;
+        else if (now >= 60000) ++waited_for_by_others;
       } else {
         if (idle.back().second)
           with(i, [&](Warmer& w) {
@@ -382,7 +382,7 @@
     }
     auto others = static_cast<double>(all.size() - new_relays.size() - dead.size());
     results.steady_state_handshakes =
-        static_cast<double>(met_by_others * new_relays.size()) / std::max(1.0, others);
+        static_cast<double>(waited_for_by_others * new_relays.size()) / std::max(1.0, others);
     for (int i : new_relays) {
       auto& relay = at(i);
       auto count = relay.warmer->stats();
