--- a/src/peer/custody.cpp
+++ b/src/peer/custody.cpp
@@ -1,6 +1,6 @@
-// The host of custody: maps the store's documents to their deeds, carries their records to the module and
-// what it decides to store, relay and link. What must outlast the process is flushed before any message goes.
-// It must never decide who owns a document, nor send one.
+// The custody component: maps stored documents to their global ids, passes their records to fleet::Custody
+// and carries out its actions on the store, relay and link. State that must survive the process is flushed
+// before any message is sent. Ownership is decided by fleet::Custody, and documents are sent by the relay.
 
 #include "fleet/custody.h"
 
@@ -25,103 +25,107 @@
 using fleet::MemberId;
 using fleet::PersistentGroupState;
 
-constexpr std::size_t lives_most = 64;         // that the folder tells of
-constexpr std::size_t room_bytes = 64 * 1024;  // less than that left: another takes over first
-constexpr Millis lines_apart = 1000;           // of the log
+constexpr std::size_t max_past_incarnations = 64;  // incarnations remembered in the folder
+constexpr std::size_t min_free_bytes = 64 * 1024;  // with less free space, other members take over first
+constexpr Millis min_log_interval = 1000;          // minimum between log lines
 
-const std::string lives_note = "custody lives", group_note = "custody group ";
+const std::string incarnations_key = "custody lives", group_key_prefix = "custody group ";
 
-class Keeping final : public FleetComponent {
+class CustodyComponent final : public FleetComponent {
  public:
-  explicit Keeping(const ComponentContext& place)
-      : place_(place),
-        around_(place.relay),
-        store_(place.relay.store),
-        due_(place.relay.loop, [this] { turn(); }) {
-    const auto& config = place.config;
+  explicit CustodyComponent(const ComponentContext& context)
+      : context_(context),
+        relay_(context.relay),
+        store_(context.relay.store),
+        turn_timer_(context.relay.loop, [this] { turn(); }) {
+    const auto& config = context.config;
     custody_ = Custody::make(
-        config.roster, config.self, place.incarnation,
+        config.roster, config.self, context.incarnation,
         {config.lease_duration, config.max_clock_drift, config.replication_timeout, config.wait_for_replica},
-        place.seed);
+        context.seed);
   }
 
   void start() override {
-    begin();
-    std::vector<Incarnation> lives;
+    begin_turn();
+    std::vector<Incarnation> incarnations;
     for (const auto& [name, text] : store_.metadata()) try {
-        if (name == lives_note) lives = unpacked<std::vector<Incarnation>>(text);
-        else if (name.starts_with(group_note)) custody_->restore_group(unpacked<PersistentGroupState>(text));
+        if (name == incarnations_key) incarnations = unpacked<std::vector<Incarnation>>(text);
+        else if (name.starts_with(group_key_prefix))
+          custody_->restore_group(unpacked<PersistentGroupState>(text));
       } catch (const fleet::FleetError& error) {
-        log_line("documents: %s", fleet::BadStateFile("a note cannot be read", name, error.what()).what());
+        log_line("documents: %s",
+                 fleet::BadStateFile("a metadata entry cannot be read", name, error.what()).what());
       }
-    for (const auto& life : lives) custody_->add_past_incarnation(life);
-    lives.push_back(place_.incarnation);
-    if (lives.size() > lives_most) lives.erase(lives.begin());
-    store_.set_metadata(lives_note, packed(lives));
+    for (const auto& incarnation : incarnations) custody_->add_past_incarnation(incarnation);
+    incarnations.push_back(context_.incarnation);
+    if (incarnations.size() > max_past_incarnations) incarnations.erase(incarnations.begin());
+    store_.set_metadata(incarnations_key, packed(incarnations));
     store_.flush();
-    before_ = store_.last_doc_number();
-    for (const auto& [doc, held] : store_.documents()) known(doc);
-    soon();
+    last_recovered_number_ = store_.last_doc_number();
+    for (const auto& [doc, document] : store_.documents()) register_document(doc);
+    schedule_turn();
   }
 
   void on_message(MemberId from, std::string_view payload) override {
     auto message = unpacked<CustodyMessage>(payload);
-    begin();
+    begin_turn();
     custody_->on_message(from, message);
-    soon();
+    schedule_turn();
   }
   void on_link_change(MemberId peer, Incarnation, bool up) override {
-    begin(), custody_->on_link_change(peer, up), soon();
+    begin_turn(), custody_->on_link_change(peer, up), schedule_turn();
   }
-  void on_member_change(MemberId member, Incarnation life, fleet::MemberState condition) override {
-    begin();
-    custody_->on_member_change(member, life, condition);
-    custody_->set_has_capacity(around_.decision.has_capacity() && store_.has_room(room_bytes));
-    soon();
+  void on_member_change(MemberId member, Incarnation incarnation, fleet::MemberState state) override {
+    begin_turn();
+    custody_->on_member_change(member, incarnation, state);
+    custody_->set_has_capacity(relay_.decision.has_capacity() && store_.has_room(min_free_bytes));
+    schedule_turn();
   }
-  void on_declared_dead() override { soon(); }
+  void on_declared_dead() override { schedule_turn(); }
   void leave() override { custody_->leave(); }
 
-  // Without a lease nothing goes, and what the decision module would have sent waits.
+  // Without a lease nothing is sent; the decision module pauses its transmissions.
   void before_turn() override {
-    begin();
-    bool held = !custody_->holds_lease();
-    if (held == held_ || (!held && !store_.is_sole_process())) return;
-    held_ = held;
-    around_.decision.pause_sending(held);
+    begin_turn();
+    bool paused = !custody_->holds_lease();
+    if (paused == sending_paused_ || (!paused && !store_.is_sole_process())) return;
+    sending_paused_ = paused;
+    relay_.decision.pause_sending(paused);
   }
 
   void on_store_record(char kind, DocId doc, int transmission) override {
-    if (quiet_) return;
-    begin();
+    if (ignore_records_) return;
+    begin_turn();
     if (kind == 'D') {
-      GlobalDocId deed = custody_->next_document_id(static_cast<std::uint64_t>(doc));
-      note(doc, deed);
-      return custody_->accept(papers(doc, deed)), soon();
+      GlobalDocId fleet_id = custody_->next_document_id(static_cast<std::uint64_t>(doc));
+      assign_fleet_id(doc, fleet_id);
+      return custody_->accept(state_of(doc, fleet_id)), schedule_turn();
     }
-    auto found = deeds_.find(doc);
-    if (found == deeds_.end()) return;
-    GlobalDocId deed = found->second;
-    const StoredDocument& held = store_.documents().at(doc);
-    if (kind == 'S') custody_->record_transmission(deed, transmission, held.in_doubt.back().zone);
-    if (kind == 'N') custody_->record_never_ran(deed, transmission);
-    if (kind == 'E') custody_->record_ended(deed, Store::encode(held));
-    if (kind == 'F') forget(doc), custody_->remove(deed);
-    soon();
+    auto found = fleet_ids_.find(doc);
+    if (found == fleet_ids_.end()) return;
+    GlobalDocId fleet_id = found->second;
+    const StoredDocument& document = store_.documents().at(doc);
+    if (kind == 'S') custody_->record_transmission(fleet_id, transmission, document.in_doubt.back().zone);
+    if (kind == 'N') custody_->record_never_ran(fleet_id, transmission);
+    if (kind == 'E') custody_->record_ended(fleet_id, Store::encode(document));
+    if (kind == 'F') forget(doc), custody_->remove(fleet_id);
+    schedule_turn();
   }
 
   bool may_acknowledge(DocId doc) override {
-    return ask(doc, [&](const GlobalDocId& deed) { return custody_->is_accepted(deed); });
+    return check_ownership(doc, [&](const GlobalDocId& fleet_id) { return custody_->is_accepted(fleet_id); });
   }
   bool owns(DocId doc) override {
-    return ask(doc, [&](const GlobalDocId& deed) { return custody_->owns(deed); });
+    return check_ownership(doc, [&](const GlobalDocId& fleet_id) { return custody_->owns(fleet_id); });
   }
   bool may_send(DocId doc, int transmission) override {
-    return ask(doc, [&](const GlobalDocId& deed) { return custody_->may_send(deed, transmission); });
+    return check_ownership(
+        doc, [&](const GlobalDocId& fleet_id) { return custody_->may_send(fleet_id, transmission); });
   }
   bool may_report_end(DocId doc) override {
-    if (ask(doc, [&](const GlobalDocId& deed) { return custody_->may_report_end(deed); })) return true;
-    untold_.insert(doc);
+    if (check_ownership(doc, [&](const GlobalDocId& fleet_id) { return custody_->may_report_end(fleet_id); }))
+      return true;
+    unreported_ends_.insert(doc);
     return false;
   }
 
@@ -134,165 +138,170 @@
   }
 
  private:
-  // At the moment itself: a process that was stopped finds here that its lease is over.
-  void begin() { custody_->begin_turn(EventLoop::monotonic_time()); }
-  // In the next round: what was noted in this one is flushed by then.
-  void soon() { due_.set(around_.loop.now()); }
+  // Uses the current time, not the loop's, so that a process that was stopped notices that its lease has
+  // expired.
+  void begin_turn() { custody_->begin_turn(EventLoop::monotonic_time()); }
+  // Runs in the next loop iteration; records of this one are flushed by then.
+  void schedule_turn() { turn_timer_.set(relay_.loop.now()); }
 
-  template <typename Ask>
-  bool ask(DocId doc, Ask of) {
-    known(doc);
-    auto found = deeds_.find(doc);
-    if (found == deeds_.end()) return true;  // not taken on yet: nobody else can have it
-    begin();
-    return of(found->second);
+  template <typename Predicate>
+  bool check_ownership(DocId doc, Predicate predicate) {
+    register_document(doc);
+    auto found = fleet_ids_.find(doc);
+    if (found == fleet_ids_.end()) return true;  // not accepted yet, so no other member can have it
+    begin_turn();
+    return predicate(found->second);
   }
 
-  // A document found in a folder, its own or that of a process that ended later.
-  void known(DocId doc) {
-    auto held = store_.documents().find(doc);
-    if (deeds_.count(doc) || held == store_.documents().end() || !held->second.journaled) return;
-    begin();
-    GlobalDocId deed = custody_->next_document_id(static_cast<std::uint64_t>(doc));
-    if (!held->second.fleet_id.empty()) try {
-        deed = unpacked<GlobalDocId>(held->second.fleet_id);
+  // Registers a recovered document, from this relay's folder or one adopted later.
+  void register_document(DocId doc) {
+    auto document = store_.documents().find(doc);
+    if (fleet_ids_.count(doc) || document == store_.documents().end() || !document->second.journaled) return;
+    begin_turn();
+    GlobalDocId fleet_id = custody_->next_document_id(static_cast<std::uint64_t>(doc));
+    if (!document->second.fleet_id.empty()) try {
+        fleet_id = unpacked<GlobalDocId>(document->second.fleet_id);
       } catch (const fleet::FleetError&) {
-        log_line("documents: %s", fleet::BadStateFile("a deed cannot be read", held->second.id,
-                                                      "its document is this relay's own from now on")
+        log_line("documents: %s", fleet::BadStateFile("a fleet id cannot be read", document->second.id,
+                                                      "its document is now owned by this relay")
                                       .what());
       }
-    note(doc, deed);
-    custody_->restore_document(papers(doc, deed), before_);
-    soon();
+    assign_fleet_id(doc, fleet_id);
+    custody_->restore_document(state_of(doc, fleet_id), last_recovered_number_);
+    schedule_turn();
   }
-  void note(DocId doc, const GlobalDocId& deed) {
-    if (auto before = deeds_.find(doc); before != deeds_.end()) docs_.erase(before->second);
-    deeds_[doc] = deed, docs_[deed] = doc;
-    store_.set_fleet_id(doc, packed(deed));
+  void assign_fleet_id(DocId doc, const GlobalDocId& fleet_id) {
+    if (auto previous = fleet_ids_.find(doc); previous != fleet_ids_.end())
+      docs_by_fleet_id_.erase(previous->second);
+    fleet_ids_[doc] = fleet_id, docs_by_fleet_id_[fleet_id] = doc;
+    store_.set_fleet_id(doc, packed(fleet_id));
   }
   void forget(DocId doc) {
-    if (auto found = deeds_.find(doc); found != deeds_.end()) docs_.erase(found->second), deeds_.erase(found);
+    if (auto found = fleet_ids_.find(doc); found != fleet_ids_.end())
+      docs_by_fleet_id_.erase(found->second), fleet_ids_.erase(found);
   }
-  DocumentState papers(DocId doc, const GlobalDocId& deed) const {
-    const StoredDocument& held = store_.documents().at(doc);
+  DocumentState state_of(DocId doc, const GlobalDocId& fleet_id) const {
+    const StoredDocument& document = store_.documents().at(doc);
     auto wall = EventLoop::wall_time();
-    DocumentState papers;
-    papers.id = deed, papers.record = Store::encode(held), papers.time_left = held.expiry - wall;
-    papers.transmission_count = held.transmissions, papers.ended = held.ended;
-    papers.replicate_before_send = held.type.retry_safety != RetrySafety::idempotent;
-    for (const auto& sent : held.in_doubt)
-      papers.in_doubt.push_back({sent.number, std::max(0.0, wall - sent.sent_at), sent.zone});
-    return papers;
+    DocumentState state;
+    state.id = fleet_id, state.record = Store::encode(document), state.time_left = document.expiry - wall;
+    state.transmission_count = document.transmissions, state.ended = document.ended;
+    state.replicate_before_send = document.type.retry_safety != RetrySafety::idempotent;
+    for (const auto& sent : document.in_doubt)
+      state.in_doubt.push_back({sent.number, std::max(0.0, wall - sent.sent_at), sent.zone});
+    return state;
   }
 
   void turn() {
-    begin();
-    auto decided = custody_->decide();
-    for (const auto& note : decided.states_to_persist) {
-      auto name = group_note + packed(note.group);
-      store_.set_metadata(name, note.deleted ? "" : packed(note));
+    begin_turn();
+    auto actions = custody_->decide();
+    for (const auto& persistent : actions.states_to_persist) {
+      auto name = group_key_prefix + packed(persistent.group);
+      store_.set_metadata(name, persistent.deleted ? "" : packed(persistent));
     }
-    for (const auto& [from, to] : decided.renumbered)
-      if (auto found = docs_.find(from); found != docs_.end()) note(DocId(found->second), to);
-    std::vector<DocId> owed;
-    for (const auto& papers : decided.taken_over) owed.push_back(add(papers));
-    for (const auto& papers : decided.resumed)
-      if (auto found = docs_.find(papers.id); found != docs_.end()) {
-        add_risks(found->second, papers);
-        owed.push_back(found->second);
+    for (const auto& [from, to] : actions.renumbered)
+      if (auto found = docs_by_fleet_id_.find(from); found != docs_by_fleet_id_.end())
+        assign_fleet_id(DocId(found->second), to);
+    std::vector<DocId> resumed_docs;
+    for (const auto& state : actions.taken_over) resumed_docs.push_back(take_over(state));
+    for (const auto& state : actions.resumed)
+      if (auto found = docs_by_fleet_id_.find(state.id); found != docs_by_fleet_id_.end()) {
+        record_in_doubt(found->second, state);
+        resumed_docs.push_back(found->second);
       }
-    // Guards against a vote, or a change of holders, that a restart would not remember.
-    if (!decided.states_to_persist.empty() || !owed.empty() || !kept_) kept_ = store_.flush();
-    if (kept_)
-      for (const auto& send : decided.sends)
-        place_.link.send(send.to, Channel::custody, packed(send.message));
-    each(decided.accepted, [this](DocId doc) { around_.answer_client(doc, true); });
-    each(decided.not_accepted, [this](DocId doc) { around_.answer_client(doc, false); });
-    each(decided.relinquished, [this](DocId doc) {
+    // Votes and changes of replicas must survive a restart before messages depend on them.
+    if (!actions.states_to_persist.empty() || !resumed_docs.empty() || !flushed_) flushed_ = store_.flush();
+    if (flushed_)
+      for (const auto& send : actions.sends)
+        context_.link.send(send.to, Channel::custody, packed(send.message));
+    for_each(actions.accepted, [this](DocId doc) { relay_.answer_client(doc, true); });
+    for_each(actions.not_accepted, [this](DocId doc) { relay_.answer_client(doc, false); });
+    for_each(actions.relinquished, [this](DocId doc) {
       forget(doc);
-      around_.discard_document(doc);
+      relay_.discard_document(doc);
     });
-    each(decided.suspended, [this](DocId doc) { around_.decision.withdraw(doc); });
-    for (DocId doc : owed)
-      if (auto held = store_.documents().find(doc); held != store_.documents().end()) {
-        if (held->second.ended) untold_.insert(doc);
-        else around_.resume_document(doc);
+    for_each(actions.suspended, [this](DocId doc) { relay_.decision.withdraw(doc); });
+    for (DocId doc : resumed_docs)
+      if (auto document = store_.documents().find(doc); document != store_.documents().end()) {
+        if (document->second.ended) unreported_ends_.insert(doc);
+        else relay_.resume_document(doc);
       }
-    for (DocId doc : std::exchange(untold_, {}))
-      if (store_.documents().count(doc) && may_report_end(doc)) around_.resume_document(doc);
-    if (!decided.cleared_transmissions.empty())
-      around_.begin_turn();  // the relay asks again for each call that it keeps back
-    for (const auto& line : decided.log_lines) say(line);
-    if (held_ != !custody_->holds_lease()) around_.begin_turn();
-    if (decided.wake_in >= 0) due_.set(EventLoop::monotonic_time() + decided.wake_in);
+    for (DocId doc : std::exchange(unreported_ends_, {}))
+      if (store_.documents().count(doc) && may_report_end(doc)) relay_.resume_document(doc);
+    if (!actions.cleared_transmissions.empty())
+      relay_.begin_turn();  // the relay asks again for each deferred transmission
+    for (const auto& line : actions.log_lines) log_limited(line);
+    if (sending_paused_ != !custody_->holds_lease()) relay_.begin_turn();
+    if (actions.wake_in >= 0) turn_timer_.set(EventLoop::monotonic_time() + actions.wake_in);
   }
   template <typename Do>
-  void each(const std::vector<GlobalDocId>& deeds, Do what) {
-    for (const auto& deed : deeds)
-      if (auto found = docs_.find(deed); found != docs_.end()) what(DocId(found->second));
+  void for_each(const std::vector<GlobalDocId>& fleet_ids, Do what) {
+    for (const auto& fleet_id : fleet_ids)
+      if (auto found = docs_by_fleet_id_.find(fleet_id); found != docs_by_fleet_id_.end())
+        what(DocId(found->second));
   }
 
-  // A document of another, this relay's from now on: it is owed even where the store has no room for it, by
-  // this process and the copies.
-  DocId add(const DocumentState& papers) {
-    if (auto found = docs_.find(papers.id); found != docs_.end()) return found->second;
-    StoredDocument held;
+  // Takes over a document of another relay. If the store has no space for it, this process and the replicas
+  // still hold it and owe its delivery.
+  DocId take_over(const DocumentState& state) {
+    if (auto found = docs_by_fleet_id_.find(state.id); found != docs_by_fleet_id_.end()) return found->second;
+    StoredDocument document;
     try {
-      held = Store::decode(papers.record);
+      document = Store::decode(state.record);
     } catch (const std::exception& error) {
-      log_line("documents: a copy cannot be read: %s", error.what());
+      log_line("documents: a replica cannot be read: %s", error.what());
       return {};
     }
     auto wall = EventLoop::wall_time();
-    held.expiry = wall + papers.time_left, held.transmissions = papers.transmission_count;
-    held.in_doubt.clear();
-    for (const auto& risk : papers.in_doubt)
-      held.in_doubt.push_back({risk.number, wall - risk.age, risk.zone});
-    std::ranges::sort(held.in_doubt, {}, &StoredDocument::Transmission::sent_at);
-    auto doc = store_.add(std::move(held));
-    quiet_ = true;
-    store_.record_accepted(doc), note(doc, papers.id);
-    quiet_ = false;
+    document.expiry = wall + state.time_left, document.transmissions = state.transmission_count;
+    document.in_doubt.clear();
+    for (const auto& entry : state.in_doubt)
+      document.in_doubt.push_back({entry.number, wall - entry.age, entry.zone});
+    std::ranges::sort(document.in_doubt, {}, &StoredDocument::Transmission::sent_at);
+    auto doc = store_.add(std::move(document));
+    ignore_records_ = true;
+    store_.record_accepted(doc), assign_fleet_id(doc, state.id);
+    ignore_records_ = false;
     return doc;
   }
-  void add_risks(DocId doc, const DocumentState& papers) {
-    const StoredDocument& held = store_.documents().at(doc);
+  void record_in_doubt(DocId doc, const DocumentState& state) {
+    const StoredDocument& document = store_.documents().at(doc);
     auto wall = EventLoop::wall_time();
-    quiet_ = true;
-    for (const auto& risk : papers.in_doubt)
-      if (std::ranges::find(held.in_doubt, risk.number, &StoredDocument::Transmission::number) ==
-          held.in_doubt.end())
-        store_.record_transmission(doc, risk.number, wall - risk.age, risk.zone);
-    quiet_ = false;
+    ignore_records_ = true;
+    for (const auto& entry : state.in_doubt)
+      if (std::ranges::find(document.in_doubt, entry.number, &StoredDocument::Transmission::number) ==
+          document.in_doubt.end())
+        store_.record_transmission(doc, entry.number, wall - entry.age, entry.zone);
+    ignore_records_ = false;
   }
 
-  void say(const std::string& line) {
-    auto now = around_.loop.now();
-    if (now < said_at_ + lines_apart && ++unsaid_ > 3) return;
-    if (now >= said_at_ + lines_apart) said_at_ = now, unsaid_ = 0;
+  void log_limited(const std::string& line) {
+    auto now = relay_.loop.now();
+    if (now < last_logged_ + min_log_interval && ++suppressed_lines_ > 3) return;
+    if (now >= last_logged_ + min_log_interval) last_logged_ = now, suppressed_lines_ = 0;
     log_line("%s", line.c_str());
   }
 
-  const ComponentContext place_;
-  RelayContext& around_;
+  const ComponentContext context_;
+  RelayContext& relay_;
   Store& store_;
   std::unique_ptr<Custody> custody_;
-  Timer due_;
-  std::map<DocId, GlobalDocId> deeds_;
-  std::map<GlobalDocId, DocId> docs_;
-  std::set<DocId> untold_;    // ended, and no copy has that yet
-  std::uint64_t before_ = 0;  // the highest number given before this start
-  bool quiet_ = false;        // what is noted now is known to the module
-  bool kept_ = true, held_ = false;
-  Millis said_at_ = -1e18;
-  int unsaid_ = 0;
+  Timer turn_timer_;
+  std::map<DocId, GlobalDocId> fleet_ids_;
+  std::map<GlobalDocId, DocId> docs_by_fleet_id_;
+  std::set<DocId> unreported_ends_;          // ended, and no replica has the end yet
+  std::uint64_t last_recovered_number_ = 0;  // highest document number assigned before this start
+  bool ignore_records_ = false;              // records written now are already known to the module
+  bool flushed_ = true, sending_paused_ = false;
+  Millis last_logged_ = -1e18;
+  int suppressed_lines_ = 0;
 };
 
 }  // namespace
 
-std::unique_ptr<FleetComponent> make_custody(const ComponentContext& place) {
-  if (place.config.replica_count == 0) return nullptr;
-  return std::make_unique<Keeping>(place);
+std::unique_ptr<FleetComponent> make_custody(const ComponentContext& context) {
+  if (context.config.replica_count == 0) return nullptr;
+  return std::make_unique<CustodyComponent>(context);
 }
 
 }  // namespace rockcrank::peer
--- a/src/peer/fleet.h
+++ b/src/peer/fleet.h
@@ -1,6 +1,6 @@
-// Owns the fleet part of one relay as a whole: membership, link and the parts, in the order in which they
-// hear of things. The relay has one, or none where no fleet file is named. It must never decide, and never
-// hold what a part owns.
+// The fleet side of one relay: membership, link and the optional components, to which it dispatches the
+// relay's events. A relay without a fleet file has none. It takes no decisions and holds no state of a
+// component.
 #pragma once
 
 #include <functional>
@@ -15,18 +15,18 @@
 
 class Fleet {
  public:
-  // Reads no file but the life number in the folder. around lives longer.
-  Fleet(RelayContext& around, FleetConfig config, const std::string& state_folder, std::uint64_t seed);
+  // Reads only the incarnation number from the folder. relay must outlive this object.
+  Fleet(RelayContext& relay, FleetConfig config, const std::string& state_folder, std::uint64_t seed);
   ~Fleet();
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  void start();  // once the relay has told the decision module of its list
+  void start();  // called once the decision module has the endpoint list
   void before_turn();
-  void after_turn(const Actions& decided);
+  void after_turn(const Actions& actions);
   void on_store_record(char kind, DocId doc, int transmission);
   void on_outcome(const Outcome& outcome);
-  void set_offline(const std::string& endpoint, bool out);
+  void set_offline(const std::string& endpoint, bool offline);
   bool may_acknowledge(DocId doc);
   bool owns(DocId doc);
   bool may_send(DocId doc, int transmission);
@@ -35,15 +35,15 @@
   std::string summary() const;
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
-// Each part's own maker, in its own file under src/peer/: none where the fleet file leaves it off.
+// Factories of the components; nullptr if the fleet file does not enable the component.
 std::unique_ptr<FleetComponent> make_shared_state(
-    const ComponentContext& place);                                           // registers, and the state file
-std::unique_ptr<FleetComponent> make_custody(const ComponentContext& place);  // documents
-std::unique_ptr<FleetComponent> make_warmup(const ComponentContext& place);
-std::unique_ptr<FleetComponent> make_streams(const ComponentContext& place);
+    const ComponentContext& context);  // replicated registers and the state file
+std::unique_ptr<FleetComponent> make_custody(const ComponentContext& context);  // replication of documents
+std::unique_ptr<FleetComponent> make_warmup(const ComponentContext& context);
+std::unique_ptr<FleetComponent> make_streams(const ComponentContext& context);
 
 }  // namespace rockcrank::peer
--- a/src/peer/link.h
+++ b/src/peer/link.h
@@ -1,7 +1,7 @@
-// Owns the connections between members: TCP on the relay's own loop, one connection a pair and direction of
-// dialling, frames with a length, a bounded queue for each peer. It must never block a turn, decide who is
-// alive, or look into a payload. A peer that sends rubbish, too much, or another fleet's messages is named in
-// the log and its connection closed; nothing else is harmed.
+// TCP connections between members on the relay's event loop: one connection per pair and dialling direction,
+// length-prefixed frames and a bounded send queue per peer. Nothing here blocks, decides which members are
+// alive or interprets payloads. A peer that sends invalid data, too much, or messages of another fleet is
+// logged and its connection closed; other connections are not affected.
 #pragma once
 
 #include <cstdint>
@@ -17,35 +17,35 @@
 
 namespace rockcrank::peer {
 
-// What a payload belongs to; the parts read their own only.
+// The component that a payload belongs to.
 enum class Channel : std::uint8_t { membership = 1, registers, custody, warm, latest };
 
 class Link {
  public:
-  Link(EventLoop& loop, const FleetConfig& config, fleet::Incarnation own, std::uint64_t seed);
+  Link(EventLoop& loop, const FleetConfig& config, fleet::Incarnation own_incarnation, std::uint64_t seed);
   ~Link();
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
-  // from: the member that the connection's greeting named, whose life it is in now.
+  // from: the member named in the connection's handshake.
   std::function<void(fleet::MemberId from, Channel channel, std::string_view payload)> on_message;
-  std::function<void(fleet::MemberId peer, fleet::Incarnation life, bool up)> on_link_change;
-  // Another process says it is this member, in a life that is not this one.
+  std::function<void(fleet::MemberId peer, fleet::Incarnation incarnation, bool up)> on_link_change;
+  // Another process identifies itself as this member, with another incarnation.
   std::function<void(fleet::Incarnation other)> on_duplicate_self;
 
-  // False: the peer is not connected, or its queue is full (then its connection is dropped, to be caught up
-  // with later). Payloads of one peer arrive in order or not at all.
+  // Returns false if the peer is not connected or its queue is full; in the latter case the connection is
+  // dropped. Payloads to one peer arrive in order or not at all.
   bool send(fleet::MemberId to, Channel channel, std::string_view payload);
   bool is_up(fleet::MemberId peer) const;
-  // Half of the least round trip to that peer in the last seconds, ms; negative: not known.
+  // Half of the smallest round trip to the peer in the last seconds, in ms; negative if unknown.
   Millis one_way_delay(fleet::MemberId peer) const;
-  // A part found that this peer sends what cannot be read: named, the connection closed.
-  void reject_peer(fleet::MemberId peer, const std::string& why);
+  // Logs the reason and closes the peer's connection, after a component could not read a message.
+  void reject_peer(fleet::MemberId peer, const std::string& reason);
   std::size_t connection_count() const;
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace rockcrank::peer
--- a/src/peer/persistent_log.cpp
+++ b/src/peer/persistent_log.cpp
@@ -1,5 +1,5 @@
-// What the module says, done with files, in the order that keeps promises: what is noted is written before it
-// is said to be. latest_log.h says what is owned.
+// Carries out the module's actions on the files. A record or delivery state is written before any message
+// acknowledges it.
 
 #include "peer/persistent_log.h"
 
@@ -10,9 +10,9 @@
 using namespace latest;
 
 namespace {
-constexpr std::size_t copied_in_a_turn = 1
-                                         << 16;  // bytes of a compaction: a turn never waits for a whole one
-constexpr std::size_t lines_most = 16;           // of a turn
+// per step of a compaction, so that a turn never waits for a whole one
+constexpr std::size_t max_compaction_bytes_per_turn = 1 << 16;
+constexpr std::size_t max_log_lines = 16;  // per turn
 }  // namespace
 
 PersistentLog::PersistentLog(std::unique_ptr<FileSystem> files, const std::string& where,
@@ -21,122 +21,125 @@
                              Millis now, Millis wall)
     : module_(CompactedLog::make(roster, self, settings, seed)) {
   module_->begin_turn(now, wall);
-  Segments::RecoveryCallbacks taker;
-  taker.on_segment = [this](SegmentId id, StreamId stream, bool sealed) {
+  Segments::RecoveryCallbacks callbacks;
+  callbacks.on_segment = [this](SegmentId id, StreamId stream, bool sealed) {
     module_->add_segment(id, stream, sealed);
   };
-  taker.on_record = [this](const Record& record, const LogLocation& place) {
-    module_->on_recovered(header_of(record), place);
+  callbacks.on_record = [this](const Record& record, const LogLocation& location) {
+    module_->on_recovered(header_of(record), location);
   };
-  taker.on_delivery_state = [this](const DeliveryState& mark, const LogLocation& place) {
-    module_->on_recovered(mark, place);
+  callbacks.on_delivery_state = [this](const DeliveryState& state, const LogLocation& location) {
+    module_->on_recovered(state, location);
   };
-  taker.on_damaged_file = [this](const fleet::BadStateFile& error) { report(error.what()); };
+  callbacks.on_damaged_file = [this](const fleet::BadStateFile& error) { report(error.what()); };
   segments_ = std::make_unique<Segments>(
       std::move(files), where, Segments::Limits{settings.segment_bytes, settings.max_disk_bytes, cache_bytes},
-      taker);
+      callbacks);
 }
 
 void PersistentLog::report(const std::string& line) {
-  if (log_.size() < lines_most && std::ranges::find(log_, line) == log_.end()) log_.push_back(line);
+  if (log_.size() < max_log_lines && std::ranges::find(log_, line) == log_.end()) log_.push_back(line);
 }
 
-bool PersistentLog::keep(const RecordHeader& entry, const Record& record, bool own) {
+bool PersistentLog::persist(const RecordHeader& header, const Record& record, bool is_local) {
   try {
-    module_->on_record_stored(entry, segments_->append(record), own);
+    module_->on_record_stored(header, segments_->append(record), is_local);
     return true;
   } catch (const fleet::StorageUnavailable& error) {
-    if (own) throw;
+    if (is_local) throw;
     report(error.what());
     return false;
   }
 }
 
 HybridTimestamp PersistentLog::append_local(Record record) {
-  auto stamp = module_->next_timestamp(record.stream, key_hash(record.key));
-  if (!stamp)
-    throw fleet::VersionAhead("this relay's clock has gone back behind its own versions", "stream document",
-                              "set the clock; until then documents of streams are told to come again");
-  record.timestamp = *stamp;
-  keep(header_of(record), record, true);
-  return *stamp;
+  auto timestamp = module_->next_timestamp(record.stream, key_hash(record.key));
+  if (!timestamp)
+    throw fleet::VersionAhead("this relay's clock is behind the versions that it has already assigned",
+                              "stream document",
+                              "set the clock; until then stream documents are answered -BUSY");
+  record.timestamp = *timestamp;
+  persist(header_of(record), record, true);
+  return *timestamp;
 }
 
 std::optional<Record> PersistentLog::read(StreamId stream, const KeyHash& key) {
-  auto place = module_->newest_location(stream, key);
-  if (!place) return std::nullopt;
+  auto location = module_->newest_location(stream, key);
+  if (!location) return std::nullopt;
   try {
-    return segments_->read(*place);
+    return segments_->read(*location);
   } catch (const fleet::BadStateFile& error) {
     report(error.what());
-    module_->on_record_unreadable(stream, key, *place);
+    module_->on_record_unreadable(stream, key, *location);
     return std::nullopt;
   }
 }
 
 void PersistentLog::on_message(fleet::MemberId from, const LatestMessage& message) {
-  bool kept_all = true;
+  bool all_persisted = true;
   auto sender = std::to_string(static_cast<std::uint64_t>(from));
   for (const auto& record : message.records) {
-    auto entry = header_of(record);
-    auto verdict = module_->check_record(entry);
-    if (verdict == RecordCheck::newer) {
-      kept_all &= keep(entry, record, false);
-    } else if (verdict == RecordCheck::too_far_ahead) {
-      kept_all = false;
-      report(fleet::VersionAhead("a version too far ahead was refused", "from member " + sender,
-                                 "set the clocks of that relay and of this one; it is sent again by itself")
+    auto header = header_of(record);
+    auto check = module_->check_record(header);
+    if (check == RecordCheck::newer) {
+      all_persisted &= persist(header, record, false);
+    } else if (check == RecordCheck::too_far_ahead) {
+      all_persisted = false;
+      report(fleet::VersionAhead(
+                 "a version too far ahead was refused", "from member " + sender,
+                 "synchronise the clocks of the two relays; the record is sent again automatically")
                  .what());
-    } else if (verdict == RecordCheck::conflict_keep_local ||
-               verdict == RecordCheck::conflict_replace_local) {
-      // Never silent: both are kept, and all relays choose the same one.
-      auto here = read(entry.stream, entry.key);
-      segments_->save_conflicting_record(verdict == RecordCheck::conflict_keep_local ? record
-                                                                                     : here.value_or(record));
-      if (verdict == RecordCheck::conflict_replace_local) kept_all &= keep(entry, record, false);
-      report(fleet::VersionConflict(
-                 "two records of equal version and other content, ids " + record.id + " and " +
-                     (here ? here->id : "?"),
-                 "key " + record.key + ", from member " + sender,
-                 "both are in the file aside; see whether a machine image was restored beside "
-                 "its former self")
+    } else if (check == RecordCheck::conflict_keep_local || check == RecordCheck::conflict_replace_local) {
+      // Conflicts are reported: both records are kept, and all relays choose the same one.
+      auto local_record = read(header.stream, header.key);
+      segments_->save_conflicting_record(
+          check == RecordCheck::conflict_keep_local ? record : local_record.value_or(record));
+      if (check == RecordCheck::conflict_replace_local) all_persisted &= persist(header, record, false);
+      report(fleet::VersionConflict("two records of equal version and other content, ids " + record.id +
+                                        " and " + (local_record ? local_record->id : "?"),
+                                    "key " + record.key + ", from member " + sender,
+                                    "both are kept, one in the file 'aside'; check whether a restored "
+                                    "machine image runs beside the original")
                  .what());
     }
   }
-  module_->on_message(from, message, kept_all);
+  module_->on_message(from, message, all_persisted);
 }
 
 void PersistentLog::compact(SegmentId segment) {
   auto step = segments_->compact_step(
-      segment, copied_in_a_turn,
-      [this](const RecordHeader& entry, const LogLocation& place) { return module_->is_live(entry, place); },
-      [this](const DeliveryState& mark, SegmentId id) { return module_->is_live(mark, id); });
+      segment, max_compaction_bytes_per_turn,
+      [this](const RecordHeader& header, const LogLocation& location) {
+        return module_->is_live(header, location);
+      },
+      [this](const DeliveryState& state, SegmentId id) { return module_->is_live(state, id); });
   if (step.progress == Segments::Progress::done) module_->on_compacted(segment, step.moved, step.dropped);
   else if (step.progress == Segments::Progress::failed) module_->on_compaction_failed(segment, step.moved);
 }
 
 PersistentLog::Actions PersistentLog::decide() {
-  auto decided = module_->decide();
-  bool kept = true;
-  for (const auto& mark : decided.delivery_states) {
-    if (!kept) break;
+  auto actions = module_->decide();
+  bool persisted = true;
+  for (const auto& state : actions.delivery_states) {
+    if (!persisted) break;
     try {
-      module_->on_delivery_state_stored(mark, segments_->append(mark));
-    } catch (const fleet::StorageUnavailable& error) { report(error.what()), kept = false; }
+      module_->on_delivery_state_stored(state, segments_->append(state));
+    } catch (const fleet::StorageUnavailable& error) { report(error.what()), persisted = false; }
   }
-  Actions done;
-  for (auto& out : decided.sends) {
-    if (out.acknowledges && !kept) continue;  // it would say that marks are kept
-    for (const auto& [stream, key] : out.records)
-      if (auto record = read(stream, key)) out.message.records.push_back(std::move(*record));
-    done.sends.push_back({out.to, std::move(out.message)});
+  Actions result;
+  for (auto& send : actions.sends) {
+    if (send.acknowledges && !persisted)
+      continue;  // it would acknowledge delivery states that were not written
+    for (const auto& [stream, key] : send.records)
+      if (auto record = read(stream, key)) send.message.records.push_back(std::move(*record));
+    result.sends.push_back({send.to, std::move(send.message)});
   }
-  done.deliver = std::move(decided.deliver), done.withdraw = std::move(decided.withdraw);
-  done.replicated = std::move(decided.replicated), done.wake_in = decided.wake_in;
-  done.log = std::move(decided.log);
-  if (decided.compact) compact(*decided.compact), done.wake_in = std::min(done.wake_in, 1.0);
-  for (auto& line : std::exchange(log_, {})) done.log.push_back(std::move(line));
-  return done;
+  result.deliver = std::move(actions.deliver), result.withdraw = std::move(actions.withdraw);
+  result.replicated = std::move(actions.replicated), result.wake_in = actions.wake_in;
+  result.log = std::move(actions.log);
+  if (actions.compact) compact(*actions.compact), result.wake_in = std::min(result.wake_in, 1.0);
+  for (auto& line : std::exchange(log_, {})) result.log.push_back(std::move(line));
+  return result;
 }
 
 }  // namespace rockcrank::peer
--- a/src/peer/persistent_log.h
+++ b/src/peer/persistent_log.h
@@ -1,6 +1,5 @@
-// Owns one relay's log per key as a whole: the module that decides (latest/latest.h) over the files
-// (segments.h). It must never decide itself, nor know of the relay, the link or a clock: its host brings
-// messages and times, and carries documents.
+// One relay's compacted log: the module that decides (latest/latest.h) on segment files (segments.h). It does
+// not depend on the relay, the link or a clock; its host passes in messages and times and delivers documents.
 #pragma once
 
 #include <memory>
@@ -23,8 +22,8 @@
     std::vector<std::string> log;
     Millis wake_in = -1;
   };
-  // Reads the files; what is wrong with them is said in the first turn's log. Throws NoRoom where not even
-  // the manifest can be written.
+  // Reads the files; their faults are in the first turn's log lines. Throws StorageUnavailable if the
+  // manifest cannot be written.
   PersistentLog(std::unique_ptr<FileSystem> files, const std::string& where, const fleet::Roster& roster,
                 fleet::MemberId self, const latest::LatestSettings& settings, std::size_t cache_bytes,
                 std::uint64_t seed, Millis now, Millis wall);
@@ -34,17 +33,18 @@
   const Segments& segments() const { return *segments_; }
 
   void begin_turn(Millis now, Millis wall) { module_->begin_turn(now, wall); }
-  // A document taken on here, its stamp left out; it outlives the process from here on. Throws NoRoom and
-  // VersionAhead, and then it is not in the log.
+  // Appends a document accepted here and assigns its timestamp; it then survives the process. If this throws
+  // StorageUnavailable or VersionAhead, the document is not in the log.
   latest::HybridTimestamp append_local(latest::Record record);
   void on_message(fleet::MemberId from, const latest::LatestMessage& message);
-  // The newest of a key; none: nothing is held, or it cannot be read (then it comes again from others).
+  // Returns the newest record of a key; nothing if there is none or it cannot be read (it is then fetched
+  // from other relays).
   std::optional<latest::Record> read(latest::StreamId stream, const latest::KeyHash& key);
   Actions decide();
 
  private:
   void report(const std::string& line);
-  bool keep(const latest::RecordHeader& entry, const latest::Record& record, bool own);
+  bool persist(const latest::RecordHeader& header, const latest::Record& record, bool is_local);
   void compact(latest::SegmentId segment);
 
   std::unique_ptr<latest::CompactedLog> module_;
--- a/src/peer/route_gossip_socket.h
+++ b/src/peer/route_gossip_socket.h
@@ -1,6 +1,6 @@
-// Owns the short notes of one relay on the operators' platform: one UDP socket, datagrams of at most 256
-// bytes to all relays of the tier and from them. It must never wait, answer, tell again, or decide what is
-// worth a note (fleet/notes.h does) or what follows from one (the decision module does).
+// UDP socket for route gossip between the relays of the operators' platform, in datagrams of at most 256
+// bytes. It does not block, answer or forward. fleet/route_gossip.h decides what is sent, and the decision
+// module what follows from a received update.
 #pragma once
 
 #include <netinet/in.h>
@@ -17,25 +17,26 @@
 
 class RouteGossipSocket : public EventHandler {
  public:
-  // begin: opens a turn. Throws std::runtime_error where the address cannot be had.
-  RouteGossipSocket(EventLoop& loop, Decision& decision, const Config& config, std::function<void()> begin);
+  // begin_turn: opens a turn. Throws std::runtime_error if the address cannot be bound.
+  RouteGossipSocket(EventLoop& loop, Decision& decision, const Config& config,
+                    std::function<void()> begin_turn);
   ~RouteGossipSocket() override;
   RouteGossipSocket(const RouteGossipSocket&) = delete;
   RouteGossipSocket& operator=(const RouteGossipSocket&) = delete;
 
-  void before_turn();  // what was heard goes to the decision module
-  void after_turn();   // what it has learnt itself goes out
+  void before_turn();  // passes received updates to the decision module
+  void after_turn();   // sends what this relay has learned
 
  private:
   void ready(short events) override;
-  void turn();
+  void send_updates();
 
   EventLoop& loop_;
   Decision& decision_;
-  const std::function<void()> begin_;
-  const std::unique_ptr<fleet::RouteGossip> notes_;
-  Timer due_;
-  const sockaddr_in all_;
+  const std::function<void()> begin_turn_;
+  const std::unique_ptr<fleet::RouteGossip> gossip_;
+  Timer send_timer_;
+  const sockaddr_in broadcast_address_;
   int fd_ = -1;
 };
 
--- a/src/peer/shared_state.cpp
+++ b/src/peer/shared_state.cpp
@@ -1,6 +1,6 @@
-// The host of the shared state: carries words between the decision module, the registers and the other
-// members, and keeps them in a file for the next start. It must never decide what is shared, whose word
-// counts, or what follows from one; and a file that cannot be written or read holds up nothing else.
+// The shared state component: passes records between the decision module, the registers and the other
+// members, and stores them in a file for the next start. What is shared, which record wins and what follows
+// from it is decided by those modules. A file that cannot be read or written does not affect anything else.
 
 #include <algorithm>
 #include <cstdio>
@@ -19,205 +19,210 @@
 
 using fleet::MemberId;
 
-// What binds is kept at once, but no more often than at this distance; the rest with it, or after a while.
-constexpr Millis keep_binding = 50, keep_rest = 5000;
-constexpr Millis worth_saying = 100;  // by so much longer must a wait be for a line in the log
+// Minimum intervals between writes: of urgent changes, and of all others.
+constexpr Millis min_urgent_write_interval = 50, min_write_interval = 5000;
+constexpr Millis min_logged_extension = 100;  // a wait is logged again only if it ends this much later
 
-class Share : public FleetComponent {
+class SharedState : public FleetComponent {
  public:
-  explicit Share(const ComponentContext& place)
-      : around_(place.relay),
-        place_(place),
-        registers_(fleet::Registers::make(place.config.self, place.incarnation,
-                                          static_cast<int>(place.config.roster.size()), place.seed)),
-        file_(place.folder + "/state", place.config.fleet_name, place.config.self),
-        due_(place.relay.loop, [this] { turn(); }),
-        keep_due_(place.relay.loop, [this] { keep(); }) {
-    // Warming waits for it: a connection ahead must not go where others know better.
-    place_.hooks->is_state_caught_up = [this] { return registers_->caught_up(); };
+  explicit SharedState(const ComponentContext& context)
+      : relay_(context.relay),
+        context_(context),
+        registers_(fleet::Registers::make(context.config.self, context.incarnation,
+                                          static_cast<int>(context.config.roster.size()), context.seed)),
+        file_(context.folder + "/state", context.config.fleet_name, context.config.self),
+        turn_timer_(context.relay.loop, [this] { turn(); }),
+        write_timer_(context.relay.loop, [this] { write_file(); }) {
+    // Warm-up waits for this: no connection should be opened to a destination that other relays know to be
+    // down.
+    context_.hooks->is_state_caught_up = [this] { return registers_->caught_up(); };
   }
-  ~Share() override { place_.hooks->is_state_caught_up = nullptr; }
+  ~SharedState() override { context_.hooks->is_state_caught_up = nullptr; }
 
   void start() override {
-    begin();
-    tell_living();
-    std::string why;
-    auto kept = file_.read(read_clocks(), why);
-    if (!why.empty()) log_line("share: %s", why.c_str());
-    if (kept) restore(*kept);
+    begin_turn();
+    update_alive_members();
+    std::string error_text;
+    auto restored = file_.read(read_clocks(), error_text);
+    if (!error_text.empty()) log_line("share: %s", error_text.c_str());
+    if (restored) restore(*restored);
     turn();
   }
 
   void on_message(MemberId from, std::string_view payload) override {
     auto message = unpacked<fleet::RegisterMessage>(payload);
-    begin();
+    begin_turn();
     registers_->on_message(from, message);
-    due_.set(around_.loop.now());
+    turn_timer_.set(relay_.loop.now());
   }
 
   void on_link_change(MemberId peer, fleet::Incarnation, bool up) override {
-    begin();
+    begin_turn();
     registers_->on_link_change(peer, up);
-    due_.set(around_.loop.now());
+    turn_timer_.set(relay_.loop.now());
   }
 
   void on_member_change(MemberId, fleet::Incarnation, fleet::MemberState) override {
-    begin();
-    tell_living();
-    due_.set(around_.loop.now());
+    begin_turn();
+    update_alive_members();
+    turn_timer_.set(relay_.loop.now());
   }
 
-  // What this relay has found out in the turn that was just gone through, which began a little ago.
+  // Publishes what this relay learned in the turn that just ended, with ages corrected for its start time.
   void after_turn(const Actions&) override {
-    auto news = around_.decision.route_statuses(false);
-    if (news.empty()) return;
-    begin();
-    Millis ago = around_.loop.now() - around_.turn_start();
-    for (auto& known : news) {
-      if (known.retry_after_left > 0) binds_ = true, known.retry_after_left -= ago;
-      binds_ |= known.state != RouteState::healthy;
-      known.state_age += ago, known.limit_age += ago;
-      registers_->publish(known);
+    auto statuses = relay_.decision.route_statuses(false);
+    if (statuses.empty()) return;
+    begin_turn();
+    Millis elapsed = relay_.loop.now() - relay_.turn_start();
+    for (auto& status : statuses) {
+      if (status.retry_after_left > 0) urgent_ = true, status.retry_after_left -= elapsed;
+      urgent_ |= status.state != RouteState::healthy;
+      status.state_age += elapsed, status.limit_age += elapsed;
+      registers_->publish(status);
     }
-    // At once, not in a later round: a told wait spreads before anything else is done.
+    // Runs at once rather than in a later iteration, so that a Retry-After wait spreads first.
     turn();
   }
 
-  void set_offline(const std::string& endpoint, bool out) override {
-    begin();
-    orders_.erase(endpoint);
-    registers_->publish_offline(endpoint, out);
-    binds_ = true;
+  void set_offline(const std::string& endpoint, bool offline) override {
+    begin_turn();
+    pending_orders_.erase(endpoint);
+    registers_->publish_offline(endpoint, offline);
+    urgent_ = true;
     turn();
   }
 
-  void leave() override { keep(); }
+  void leave() override { write_file(); }
 
   std::string summary() const override {
     char text[160];
-    std::snprintf(text, sizeof text,
-                  "share: %zu entries, %llu words learned, %llu messages and %llu bytes sent%s",
-                  registers_->all_records().size(), static_cast<unsigned long long>(learned_),
-                  static_cast<unsigned long long>(messages_), static_cast<unsigned long long>(bytes_),
-                  registers_->caught_up() ? "" : ", not caught up");
+    std::snprintf(
+        text, sizeof text, "share: %zu entries, %llu records learned, %llu messages and %llu bytes sent%s",
+        registers_->all_records().size(), static_cast<unsigned long long>(learned_count_),
+        static_cast<unsigned long long>(messages_sent_), static_cast<unsigned long long>(bytes_sent_),
+        registers_->caught_up() ? "" : ", not caught up");
     return text;
   }
 
  private:
-  void begin() { registers_->begin_turn(around_.loop.now()); }
-  void tell_living() { registers_->set_alive(place_.membership.alive()); }
+  void begin_turn() { registers_->begin_turn(relay_.loop.now()); }
+  void update_alive_members() { registers_->set_alive(context_.membership.alive()); }
 
-  void restore(const StateFile::LoadedState& kept) {
+  void restore(const StateFile::LoadedState& restored) {
     try {
-      registers_->restore(kept.records, kept.elapsed);
-      log_line("share: %zu entries known from before, %.0f ms ago", kept.records.size(), kept.elapsed);
+      registers_->restore(restored.records, restored.elapsed);
+      log_line("share: restored %zu entries, written %.0f ms ago", restored.records.size(), restored.elapsed);
     } catch (const fleet::FleetError& error) { log_line("share: %s", error.what()); }
   }
 
   void turn() {
-    begin();
-    auto decided = registers_->decide();
-    for (const auto& send : decided.sends) {
+    begin_turn();
+    auto actions = registers_->decide();
+    for (const auto& send : actions.sends) {
       auto bytes = packed(send.message);
-      if (place_.link.send(send.to, Channel::registers, bytes)) ++messages_, bytes_ += bytes.size();
+      if (context_.link.send(send.to, Channel::registers, bytes))
+        ++messages_sent_, bytes_sent_ += bytes.size();
     }
-    for (const auto& line : decided.log) log_line("share: %s", line.c_str());
-    for (const auto& entry : decided.conflicts) {
+    for (const auto& line : actions.log) log_line("share: %s", line.c_str());
+    for (const auto& entry : actions.conflicts) {
       fleet::VersionConflict error(
-          "two words of one version differ", entry,
-          "see whether two processes run as one member; both words are kept, one counts");
+          "two records of one version differ", entry,
+          "check whether two processes run as one member; both records are kept and one is used");
       log_line("share: %s", error.what());
     }
-    if (!decided.route_statuses.empty()) learn(decided.route_statuses);
-    for (const auto& order : decided.offline_orders)
-      orders_.erase(order.endpoint), take_out(order.endpoint, order.offline);
-    for (const auto& [endpoint, out] : std::map(orders_)) take_out(endpoint, out);
-    if (decided.wake_in >= 0) due_.set(around_.loop.now() + decided.wake_in);
-    else due_.clear();
-    keep_soon(!decided.route_statuses.empty() || !decided.offline_orders.empty());
+    if (!actions.route_statuses.empty()) apply(actions.route_statuses);
+    for (const auto& order : actions.offline_orders)
+      pending_orders_.erase(order.endpoint), apply_offline_order(order.endpoint, order.offline);
+    for (const auto& [endpoint, offline] : std::map(pending_orders_)) apply_offline_order(endpoint, offline);
+    if (actions.wake_in >= 0) turn_timer_.set(relay_.loop.now() + actions.wake_in);
+    else turn_timer_.clear();
+    schedule_write(!actions.route_statuses.empty() || !actions.offline_orders.empty());
   }
 
-  // The decision module counts from the moment at which its turn began.
-  void learn(std::vector<RouteStatus>& learned) {
-    around_.begin_turn();
-    Millis ago = around_.loop.now() - around_.turn_start();
-    for (auto& known : learned) {
-      if (known.retry_after_left > 0) known.retry_after_left += ago;
-      known.state_age = std::max(0.0, known.state_age - ago),
-      known.limit_age = std::max(0.0, known.limit_age - ago);
-      around_.decision.apply_route_status(known);
-      log_wait(known);
+  // The decision module measures from the start of its turn.
+  void apply(std::vector<RouteStatus>& route_statuses) {
+    relay_.begin_turn();
+    Millis elapsed = relay_.loop.now() - relay_.turn_start();
+    for (auto& status : route_statuses) {
+      if (status.retry_after_left > 0) status.retry_after_left += elapsed;
+      status.state_age = std::max(0.0, status.state_age - elapsed),
+      status.limit_age = std::max(0.0, status.limit_age - elapsed);
+      relay_.decision.apply_route_status(status);
+      log_wait(status);
     }
-    learned_ += learned.size();
+    learned_count_ += route_statuses.size();
   }
 
-  // Staff of this relay see why it holds documents of a destination that never turned it away: once for a
-  // wait.
-  void log_wait(const RouteStatus& known) {
-    auto end = around_.loop.now() + known.retry_after_left;
-    auto& said = waits_said_[{known.per_endpoint, known.route}];
-    if (known.retry_after_left <= 0 || end <= said + worth_saying) return;
-    log_line("share: told wait of another relay to %c%016llx: %.0f ms", known.per_endpoint ? 'e' : 'd',
-             static_cast<unsigned long long>(known.route), known.retry_after_left);
-    said = end;
-    std::erase_if(waits_said_, [&](const auto& one) { return one.second <= around_.loop.now(); });
+  // Logs each wait once, so that an operator sees why documents are held for a destination that never
+  // rejected this relay.
+  void log_wait(const RouteStatus& status) {
+    auto end = relay_.loop.now() + status.retry_after_left;
+    auto& logged_until = logged_waits_[{status.per_endpoint, status.route}];
+    if (status.retry_after_left <= 0 || end <= logged_until + min_logged_extension) return;
+    log_line("share: Retry-After wait reported by another relay for %c%016llx: %.0f ms",
+             status.per_endpoint ? 'e' : 'd', static_cast<unsigned long long>(status.route),
+             status.retry_after_left);
+    logged_until = end;
+    std::erase_if(logged_waits_, [&](const auto& one) { return one.second <= relay_.loop.now(); });
   }
 
-  // At a start too: an order that came while the store could not be written is carried out then; else it is
-  // tried again in each turn.
-  void take_out(const std::string& endpoint, bool out) {
-    if (around_.store.offline_endpoints().count(endpoint) == (out ? 1u : 0u))
-      return void(orders_.erase(endpoint));
-    around_.set_endpoint_offline(endpoint, out);
-    if (around_.store.offline_endpoints().count(endpoint) != (out ? 1u : 0u)) {
-      if (orders_.insert_or_assign(endpoint, out).second)
-        log_line("share: the order to %s %.60s cannot be noted yet", out ? "take out" : "put back",
-                 endpoint.c_str());
+  // Also runs at startup. An order that cannot be stored is tried again in each turn.
+  void apply_offline_order(const std::string& endpoint, bool offline) {
+    if (relay_.store.offline_endpoints().count(endpoint) == (offline ? 1u : 0u))
+      return void(pending_orders_.erase(endpoint));
+    relay_.set_endpoint_offline(endpoint, offline);
+    if (relay_.store.offline_endpoints().count(endpoint) != (offline ? 1u : 0u)) {
+      if (pending_orders_.insert_or_assign(endpoint, offline).second)
+        log_line("share: the order to %s endpoint %.60s cannot be stored yet",
+                 offline ? "take offline" : "put online", endpoint.c_str());
       return;
     }
-    orders_.erase(endpoint);
-    log_line("endpoint %.60s is %s by staff at another relay", endpoint.c_str(),
-             out ? "taken out" : "put back");
+    pending_orders_.erase(endpoint);
+    log_line("endpoint %.60s %s at another relay", endpoint.c_str(),
+             offline ? "taken offline" : "put online");
   }
 
-  void keep_soon(bool changed) {
-    changed_ |= changed || binds_;
-    if (!changed_) return;
-    auto now = around_.loop.now();
-    auto when = (failing_            ? kept_at_ + keep_rest
-                 : binds_ || changed ? kept_at_ + keep_binding
-                                     : kept_at_ + keep_rest);
-    if (when <= now) return keep();
-    if (!keep_set_ || when < keep_at_) keep_at_ = when, keep_set_ = true, keep_due_.set(when);
+  void schedule_write(bool changed) {
+    dirty_ |= changed || urgent_;
+    if (!dirty_) return;
+    auto now = relay_.loop.now();
+    auto write_at = (write_failing_       ? last_write_ + min_write_interval
+                     : urgent_ || changed ? last_write_ + min_urgent_write_interval
+                                          : last_write_ + min_write_interval);
+    if (write_at <= now) return write_file();
+    if (!write_scheduled_ || write_at < next_write_)
+      next_write_ = write_at, write_scheduled_ = true, write_timer_.set(write_at);
   }
-  void keep() {
-    begin();
-    keep_due_.clear(), keep_set_ = false;
-    kept_at_ = around_.loop.now();
-    std::string why;
-    bool kept = file_.write(registers_->records_to_persist(max_state_records), read_clocks(), why);
-    if (!kept && !std::exchange(failing_, true)) log_line("share: %s", why.c_str());
-    if (kept && std::exchange(failing_, false)) log_line("share: what the relay knows is kept again");
-    if (kept) changed_ = binds_ = false;
-    else keep_at_ = kept_at_ + keep_rest, keep_set_ = true, keep_due_.set(keep_at_);
+  void write_file() {
+    begin_turn();
+    write_timer_.clear(), write_scheduled_ = false;
+    last_write_ = relay_.loop.now();
+    std::string error_text;
+    bool written = file_.write(registers_->records_to_persist(max_state_records), read_clocks(), error_text);
+    if (!written && !std::exchange(write_failing_, true)) log_line("share: %s", error_text.c_str());
+    if (written && std::exchange(write_failing_, false))
+      log_line("share: the state file can be written again");
+    if (written) dirty_ = urgent_ = false;
+    else
+      next_write_ = last_write_ + min_write_interval, write_scheduled_ = true, write_timer_.set(next_write_);
   }
 
-  RelayContext& around_;
-  const ComponentContext& place_;
+  RelayContext& relay_;
+  const ComponentContext& context_;
   const std::unique_ptr<fleet::Registers> registers_;
   StateFile file_;
-  Timer due_, keep_due_;
-  std::map<std::pair<bool, std::uint64_t>, Millis> waits_said_;
-  std::map<std::string, bool> orders_;  // of staff elsewhere, not yet noted here
-  std::uint64_t learned_ = 0, messages_ = 0, bytes_ = 0;
-  Millis kept_at_ = -1e18, keep_at_ = 0;
-  bool changed_ = false, binds_ = false, keep_set_ = false, failing_ = false;
+  Timer turn_timer_, write_timer_;
+  std::map<std::pair<bool, std::uint64_t>, Millis> logged_waits_;
+  std::map<std::string, bool> pending_orders_;  // from other relays, not stored here yet
+  std::uint64_t learned_count_ = 0, messages_sent_ = 0, bytes_sent_ = 0;
+  Millis last_write_ = -1e18, next_write_ = 0;
+  bool dirty_ = false, urgent_ = false, write_scheduled_ = false, write_failing_ = false;
 };
 
 }  // namespace
 
-std::unique_ptr<FleetComponent> make_shared_state(const ComponentContext& place) {
-  return place.config.shared_state_enabled ? std::make_unique<Share>(place) : nullptr;
+std::unique_ptr<FleetComponent> make_shared_state(const ComponentContext& context) {
+  return context.config.shared_state_enabled ? std::make_unique<SharedState>(context) : nullptr;
 }
 
 }  // namespace rockcrank::peer
--- a/src/peer/state_file.cpp
+++ b/src/peer/state_file.cpp
@@ -1,6 +1,7 @@
-// The file's form: a line that names it and its form, a checksum over the rest, and the rest as codec.h packs
-// it. It is written whole under another name and then given its own. It outlives the process from there on; a
-// machine that loses power may lose it, and the relay then starts as one that knows nothing of destinations.
+// File format: a line with a magic text and the format version, a checksum of the rest, and the rest as
+// packed by codec.h. The file is written under a temporary name and then renamed. It is not synced: it
+// survives the process, but a power failure may lose it, and the relay then starts without state of its
+// destinations.
 
 #include "peer/state_file.h"
 
@@ -31,26 +32,26 @@
 
 using fleet::BadStateFile;
 
-constexpr std::string_view mark = "rockcrank fleet state, form ";
-constexpr std::string_view form = "1\n";  // changed with every change of a listed field
-constexpr std::size_t sum_bytes = 8;
-constexpr Millis clock_step = 1000;  // a wall clock may be set back by so much without a word
+constexpr std::string_view magic = "rockcrank fleet state, form ";
+constexpr std::string_view format_version = "1\n";  // changed with every change of fields()
+constexpr std::size_t checksum_bytes = 8;
+constexpr Millis max_clock_step_back = 1000;  // tolerated step back of the wall clock
 
-struct Image {
+struct StateImage {
   std::string fleet;
   fleet::MemberId member{};
   ClockReading written;
-  std::vector<fleet::RegisterRecord> words;
-  auto fields() { return std::tie(fleet, member, written, words); }
+  std::vector<fleet::RegisterRecord> records;
+  auto fields() { return std::tie(fleet, member, written, records); }
 };
 
-std::uint64_t sum_of(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
+std::uint64_t checksum(std::string_view bytes) { return XXH3_64bits(bytes.data(), bytes.size()); }
 
 bool write_whole(const std::string& path, std::string_view bytes) {
   int fd = ::open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (fd < 0) return false;
   bool written = write_all(fd, bytes);
-  // Guards against a full disk that only shows when the file is closed.
+  // A full disk may only be reported when the file is closed.
   auto error = errno;
   bool closed = ::close(fd) == 0;
   if (!written) errno = error;
@@ -74,8 +75,8 @@
 StateFile::StateFile(std::string path, std::string fleet, fleet::MemberId member)
     : path_(std::move(path)), fleet_(std::move(fleet)), member_(member) {}
 
-std::optional<StateFile::LoadedState> StateFile::read(const ClockReading& now, std::string& why) {
-  why.clear();
+std::optional<StateFile::LoadedState> StateFile::read(const ClockReading& now, std::string& error_text) {
+  error_text.clear();
   std::error_code none;
   if (!std::filesystem::exists(std::filesystem::symlink_status(path_, none))) return std::nullopt;
   try {
@@ -84,62 +85,66 @@
     file.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
     if (file.bad() || (!file.eof() && file.gcount() == 0))
       throw BadStateFile("the state file cannot be read", path_,
-                         "look at the folder and its rights; " + remedy());
+                         "check the folder and its permissions; " + remedy());
     bytes.resize(static_cast<std::size_t>(file.gcount()));
-    return take(bytes, now);
+    return parse(bytes, now);
   } catch (const fleet::FleetError& error) {
-    why = error.what();
+    error_text = error.what();
     set_aside();
     return std::nullopt;
   }
 }
 
 std::string StateFile::remedy() {
-  return "it is set aside and the relay learns anew of destinations; what it owes is not concerned";
+  return "it is set aside and the relay starts without stored destination state; documents are not affected";
 }
 
-StateFile::LoadedState StateFile::take(const std::string& bytes, const ClockReading& now) const {
-  auto bad = [&](const std::string& what, std::size_t at) -> BadStateFile {
+StateFile::LoadedState StateFile::parse(const std::string& bytes, const ClockReading& now) const {
+  auto error_at = [&](const std::string& what, std::size_t at) -> BadStateFile {
     return {what, path_ + ", byte " + std::to_string(at), remedy()};
   };
-  auto head = mark.size() + form.size();
-  if (bytes.size() > max_state_file_bytes) throw bad("the state file is too large", max_state_file_bytes);
-  if (bytes.compare(0, mark.size(), mark) != 0)
-    throw bad(bytes.size() < head ? "the state file is cut off" : "this is no state file", 0);
-  if (bytes.compare(mark.size(), form.size(), form) != 0)
-    throw bad(bytes.size() < head ? "the state file is cut off" : "the state file is of another form",
-              mark.size());
-  if (bytes.size() < head + sum_bytes) throw bad("the state file is cut off", bytes.size());
+  auto head = magic.size() + format_version.size();
+  if (bytes.size() > max_state_file_bytes)
+    throw error_at("the state file is too large", max_state_file_bytes);
+  if (bytes.compare(0, magic.size(), magic) != 0)
+    throw error_at(bytes.size() < head ? "the state file is cut off" : "this is not a state file", 0);
+  if (bytes.compare(magic.size(), format_version.size(), format_version) != 0)
+    throw error_at(
+        bytes.size() < head ? "the state file is cut off" : "the state file has another format version",
+        magic.size());
+  if (bytes.size() < head + checksum_bytes) throw error_at("the state file is cut off", bytes.size());
   std::uint64_t sum = 0;
   std::memcpy(&sum, bytes.data() + head, sizeof sum);
-  auto rest = std::string_view(bytes).substr(head + sum_bytes);
-  if (sum_of(rest) != sum) throw bad("the state file is damaged or cut off", head);
-  Image image;
+  auto rest = std::string_view(bytes).substr(head + checksum_bytes);
+  if (checksum(rest) != sum) throw error_at("the state file is damaged or cut off", head);
+  StateImage image;
   try {
-    image = unpacked<Image>(rest);
+    image = unpacked<StateImage>(rest);
   } catch (const fleet::FleetError&) {
-    throw bad("the state file does not hold what its form says", head + sum_bytes);
+    throw error_at("the state file does not match its format", head + checksum_bytes);
   }
   if (image.fleet != fleet_)
-    throw bad("the state file is of another fleet, " + image.fleet.substr(0, 64), head + sum_bytes);
-  if (image.member != member_) throw bad("the state file is of another member", head + sum_bytes);
+    throw error_at("the state file belongs to another fleet, " + image.fleet.substr(0, 64),
+                   head + checksum_bytes);
+  if (image.member != member_)
+    throw error_at("the state file belongs to another member", head + checksum_bytes);
 
   const ClockReading& then = image.written;
   bool same_boot = !now.boot_id.empty() && now.boot_id == then.boot_id;
-  Millis gone_for = same_boot ? now.since_boot - then.since_boot : now.wall_time - then.wall_time;
-  // Guards against a clock that was set back, or a file of a machine whose clock is ahead: how long its waits
-  // still hold, nobody can tell.
-  if (!(gone_for >= (same_boot ? 0 : -clock_step)))
-    throw bad("the state file is dated in the future", head + sum_bytes);
-  gone_for = std::max(gone_for, 0.0);
-  bool any = std::any_of(image.words.begin(), image.words.end(),
-                         [&](const auto& word) { return word.age + gone_for < fleet::retention_of(word); });
-  if (!any && !image.words.empty())
-    throw bad("the state file is older than anything it says can live", head + sum_bytes);
-  return {std::move(image.words), gone_for};
+  Millis elapsed = same_boot ? now.since_boot - then.since_boot : now.wall_time - then.wall_time;
+  // If the clock was set back, or the file comes from a machine whose clock is ahead, the remaining time of
+  // its waits is unknown.
+  if (!(elapsed >= (same_boot ? 0 : -max_clock_step_back)))
+    throw error_at("the state file is dated in the future", head + checksum_bytes);
+  elapsed = std::max(elapsed, 0.0);
+  bool any = std::any_of(image.records.begin(), image.records.end(),
+                         [&](const auto& word) { return word.age + elapsed < fleet::retention_of(word); });
+  if (!any && !image.records.empty())
+    throw error_at("the state file is older than the lifetime of all its records", head + checksum_bytes);
+  return {std::move(image.records), elapsed};
 }
 
-// Bounded in number and size: the eldest makes way.
+// Bounded in number and size: the oldest file is deleted.
 void StateFile::set_aside() const {
   auto name = [&](int number) { return path_ + "." + std::to_string(number) + ".aside"; };
   std::error_code none;
@@ -152,29 +157,30 @@
   std::filesystem::rename(path_, name(1), none);
 }
 
-bool StateFile::write(const std::vector<fleet::RegisterRecord>& words, const ClockReading& now,
-                      std::string& why) {
-  why.clear();
-  Image image{fleet_, member_, now, {}};
-  std::size_t bytes = packed(image).size() + mark.size() + form.size() + sum_bytes + 8;
-  for (const auto& word : words) {
+bool StateFile::write(const std::vector<fleet::RegisterRecord>& records, const ClockReading& now,
+                      std::string& error_text) {
+  error_text.clear();
+  StateImage image{fleet_, member_, now, {}};
+  std::size_t bytes = packed(image).size() + magic.size() + format_version.size() + checksum_bytes + 8;
+  for (const auto& word : records) {
     auto size = packed(word).size();
     if (bytes + size > max_state_file_bytes) break;
-    bytes += size, image.words.push_back(word);
+    bytes += size, image.records.push_back(word);
   }
   auto rest = packed(image);
-  auto sum = sum_of(rest);
-  std::string whole(mark);
-  whole += form;
+  auto sum = checksum(rest);
+  std::string whole(magic);
+  whole += format_version;
   whole.append(reinterpret_cast<const char*>(&sum), sizeof sum);
   whole += rest;
-  auto fresh = path_ + ".new";
-  if (write_whole(fresh, whole) && std::rename(fresh.c_str(), path_.c_str()) == 0) return true;
-  why = fleet::StorageUnavailable(
-            std::string("what the relay knows cannot be kept: ") + std::strerror(errno), path_,
-            "make room or mend the folder; it is tried again, and nothing else is concerned")
-            .what();
-  ::unlink(fresh.c_str());
+  auto temporary_path = path_ + ".new";
+  if (write_whole(temporary_path, whole) && std::rename(temporary_path.c_str(), path_.c_str()) == 0)
+    return true;
+  error_text = fleet::StorageUnavailable(
+                   std::string("the destination state cannot be stored: ") + std::strerror(errno), path_,
+                   "free disk space or repair the folder; the relay tries again and nothing else is affected")
+                   .what();
+  ::unlink(temporary_path.c_str());
   return false;
 }
 
--- a/src/peer/streams.cpp
+++ b/src/peer/streams.cpp
@@ -1,7 +1,7 @@
-// The host of the log per key: documents of streams go into it before their +OK, messages go over the link,
-// and what is due to a subscriber becomes a document of the decision module. It must never decide which
-// record counts or goes next (latest/latest.h does), nor tell the platform of a delivery that it never handed
-// in.
+// The streams component: appends stream documents to the compacted log before their +OK, exchanges messages
+// over the link, and passes due deliveries to the decision module as documents. latest/latest.h decides which
+// record is current and which is delivered next. The platform did not hand in these deliveries, so their ends
+// are not reported to it.
 
 #include <algorithm>
 #include <cinttypes>
@@ -19,7 +19,8 @@
 using namespace latest;
 using fleet::MemberId;
 
-constexpr Millis look_every = 1000;  // at what the decision module knows of subscribers
+// interval of reading the decision module's state of subscribers
+constexpr Millis impairment_check_interval = 1000;
 
 LatestSettings settings_of(const FleetConfig& config) {
   LatestSettings settings;
@@ -35,144 +36,148 @@
   return settings;
 }
 
-class LatestPart final : public FleetComponent {
+class StreamsComponent final : public FleetComponent {
  public:
-  explicit LatestPart(const ComponentContext& place)
-      : around_(place.relay),
-        fleet_(place.config),
-        membership_(place.membership),
-        link_(place.link),
-        offers_(place.hooks),
-        settings_(settings_of(place.config)),
-        log_(make_disk_file_system(place.folder + "/latest"), place.folder + "/latest", place.config.roster,
-             place.config.self, settings_,
-             std::max(place.config.warmup_max_bytes, place.config.segment_bytes), place.seed,
-             place.relay.loop.now(), EventLoop::wall_time()),
-        due_(place.relay.loop, [this] { turn(); }) {
-    offers_->preload_key = [this](std::uint64_t id) { return load(id); };
+  explicit StreamsComponent(const ComponentContext& context)
+      : relay_(context.relay),
+        config_(context.config),
+        membership_(context.membership),
+        link_(context.link),
+        hooks_(context.hooks),
+        settings_(settings_of(context.config)),
+        log_(make_disk_file_system(context.folder + "/latest"), context.folder + "/latest",
+             context.config.roster, context.config.self, settings_,
+             std::max(context.config.warmup_max_bytes, context.config.segment_bytes), context.seed,
+             context.relay.loop.now(), EventLoop::wall_time()),
+        turn_timer_(context.relay.loop, [this] { turn(); }) {
+    hooks_->preload_key = [this](std::uint64_t id) { return load(id); };
   }
-  ~LatestPart() override { offers_->preload_key = nullptr; }
+  ~StreamsComponent() override { hooks_->preload_key = nullptr; }
 
   void start() override {
-    // Documents taken on before the restart that go to a subscriber themselves.
-    for (auto& [doc, held] : around_.store.documents())
-      if (auto stream = stream_of(held); stream && !held.ended && subscribes(*stream, held.destination)) {
-        held.type.in_order = true;
-        auto key = key_hash(held.order_key);
+    // Documents accepted before the restart that go to a subscriber directly.
+    for (auto& [doc, document] : relay_.store.documents())
+      if (auto stream = stream_of(document);
+          stream && !document.ended && subscribes(*stream, document.destination)) {
+        document.type.in_order = true;
+        auto key = key_hash(document.order_key);
         auto newest = log_.read(stream->id, key);
-        if (newest && newest->id == held.id)
-          own_[doc] = {{stream->id, held.destination}, key, newest->timestamp};
+        if (newest && newest->id == document.id)
+          direct_documents_[doc] = {{stream->id, document.destination}, key, newest->timestamp};
       }
-    soon();
+    schedule_turn();
   }
 
   void on_message(MemberId from, std::string_view payload) override {
     auto message = unpacked<LatestMessage>(payload);
-    begin();
+    begin_turn();
     log_.on_message(from, message);
-    soon();
+    schedule_turn();
   }
   void on_link_change(MemberId peer, fleet::Incarnation, bool up) override {
-    begin();
+    begin_turn();
     log_.module().on_link_change(peer, up);
-    soon();
+    schedule_turn();
   }
   void on_member_change(MemberId, fleet::Incarnation, fleet::MemberState) override {
-    begin();
+    begin_turn();
     log_.module().set_alive(membership_.alive());
-    soon();
+    schedule_turn();
   }
 
-  // Into the log before +OK. Asked again for one that another relay is to keep first.
+  // Appends to the log before +OK. Called again for a document that another relay must store first.
   bool may_acknowledge(DocId doc) override {
-    auto found = around_.store.documents().find(doc);
-    auto stream = found == around_.store.documents().end() ? nullptr : stream_of(found->second);
+    auto found = relay_.store.documents().find(doc);
+    auto stream = found == relay_.store.documents().end() ? nullptr : stream_of(found->second);
     if (!stream) return true;
-    if (auto taken = taken_.find(doc); taken != taken_.end()) {
-      if (!taken->second.copied) return false;
-      taken_.erase(taken);
+    if (auto pending = pending_acceptances_.find(doc); pending != pending_acceptances_.end()) {
+      if (!pending->second.replicated) return false;
+      pending_acceptances_.erase(pending);
       return true;
     }
-    if (refused_.count(doc)) return false;
-    StoredDocument& held = found->second;
+    if (refused_docs_.count(doc)) return false;
+    StoredDocument& document = found->second;
     Record record;
-    record.stream = stream->id, record.key = held.order_key, record.id = held.id,
-    record.idempotency_key = held.idempotency_key;
-    record.tenant = held.tenant, record.body = held.body, record.direct_destination = held.destination;
-    record.direct_until = static_cast<std::uint64_t>(std::max(0.0, held.expiry));
-    begin();
-    soon();
+    record.stream = stream->id, record.key = document.order_key, record.id = document.id,
+    record.idempotency_key = document.idempotency_key;
+    record.tenant = document.tenant, record.body = document.body,
+    record.direct_destination = document.destination;
+    record.direct_until = static_cast<std::uint64_t>(std::max(0.0, document.expiry));
+    begin_turn();
+    schedule_turn();
     try {
-      auto stamp = log_.append_local(record);
+      auto timestamp = log_.append_local(record);
       auto key = key_hash(record.key);
-      if (subscribes(*stream, held.destination)) {
-        own_[doc] = {{stream->id, held.destination}, key, stamp};
-        held.type.in_order = true;  // a subscriber's own documents of one key go in their order
+      if (subscribes(*stream, document.destination)) {
+        direct_documents_[doc] = {{stream->id, document.destination}, key, timestamp};
+        document.type.in_order = true;  // a subscriber's direct documents of one key are delivered in order
       }
-      // Guards against a machine lost with the only copy of a record whose document was answered.
-      if (!fleet_.wait_for_replica || fleet_.roster.size() < 2) return true;
-      taken_[doc] = {stream->id, stamp, around_.loop.now() + fleet_.replication_timeout, false};
+      // Otherwise the loss of this machine could lose the only copy of an acknowledged record.
+      if (!config_.wait_for_replica || config_.roster.size() < 2) return true;
+      pending_acceptances_[doc] = {stream->id, timestamp, relay_.loop.now() + config_.replication_timeout,
+                                   false};
     } catch (const fleet::FleetError& error) {
-      // A full disk, or a clock gone back: the client is told to come again.
+      // The disk is full or the clock went back: the client is answered -BUSY.
       report(error.what());
-      refused_.insert(doc);
+      refused_docs_.insert(doc);
     }
     return false;
   }
 
-  // The moment of sending: a delivery needs the duty still, and what goes to a subscriber by itself must not
-  // be older than what that has had.
+  // Checked when sending: a delivery still needs its lease, and a direct document must not be older than what
+  // the subscriber has received.
   bool may_send(DocId doc, int) override {
-    if (auto found = out_.find(doc); found != out_.end())
+    if (auto found = deliveries_.find(doc); found != deliveries_.end())
       return log_.module().has_delivery_lease(found->second.subscription, EventLoop::monotonic_time());
-    auto held = around_.store.documents().find(doc);
-    auto stream = held == around_.store.documents().end() ? nullptr : stream_of(held->second);
-    if (!stream || !subscribes(*stream, held->second.destination)) return true;
-    auto position = log_.module().delivery_state({stream->id, held->second.destination},
-                                                 key_hash(held->second.order_key));
-    auto own = own_.find(doc);
-    bool late = false;
-    if (position && own != own_.end()) late = position->timestamp > own->second.timestamp;
-    // Of one recovered or taken over whose version is known no more: no earlier than it can have been taken
-    // on.
+    auto document = relay_.store.documents().find(doc);
+    auto stream = document == relay_.store.documents().end() ? nullptr : stream_of(document->second);
+    if (!stream || !subscribes(*stream, document->second.destination)) return true;
+    auto position = log_.module().delivery_state({stream->id, document->second.destination},
+                                                 key_hash(document->second.order_key));
+    auto direct = direct_documents_.find(doc);
+    bool is_superseded = false;
+    if (position && direct != direct_documents_.end())
+      is_superseded = position->timestamp > direct->second.timestamp;
+    // The version of a recovered or taken-over document is unknown: use the earliest time at which it can
+    // have been accepted.
     else if (position)
-      late = static_cast<double>(position->timestamp.wall_time) >=
-             held->second.expiry - held->second.type.lifetime;
-    if (late) late_for_own_.insert(doc), soon();
-    return !late;
+      is_superseded = static_cast<double>(position->timestamp.wall_time) >=
+                      document->second.expiry - document->second.type.lifetime;
+    if (is_superseded) superseded_documents_.insert(doc), schedule_turn();
+    return !is_superseded;
   }
 
-  // Before the relay ends them: a delivery's end is told to nobody but the module.
-  void after_turn(const rockcrank::Actions& decided) override {
-    for (const auto& reject : decided.rejected) failed(reject.doc);
-    for (DocId doc : decided.abandoned) failed(doc);
+  // Runs before the relay ends these documents: only the module is told of a delivery's end.
+  void after_turn(const rockcrank::Actions& actions) override {
+    for (const auto& reject : actions.rejected) on_delivery_failed(reject.doc);
+    for (DocId doc : actions.abandoned) on_delivery_failed(doc);
   }
   void on_outcome(const Outcome& outcome) override {
     if (!outcome.completed) return;
-    auto tell = [&](auto& from) {
+    auto report_delivered = [&](auto& from) {
       auto found = from.find(outcome.doc);
       if (found == from.end()) return false;
       auto delivery = found->second;
       from.erase(found);
-      begin();
+      begin_turn();
       log_.module().on_delivery_ended(delivery, true);
-      soon();
+      schedule_turn();
       return true;
     };
-    if (auto found = out_.find(outcome.doc); found != out_.end() && offers_->on_key_delivered)
-      offers_->on_key_delivered(id_of(found->second.subscription.stream, found->second.key),
-                                outcome.duration);
-    if (tell(out_)) ++delivered_;
-    else if (!tell(own_)) tell(late_);
+    if (auto found = deliveries_.find(outcome.doc); found != deliveries_.end() && hooks_->on_key_delivered)
+      hooks_->on_key_delivered(id_of(found->second.subscription.stream, found->second.key), outcome.duration);
+    if (report_delivered(deliveries_)) ++delivered_;
+    else if (!report_delivered(direct_documents_)) report_delivered(withdrawn_deliveries_);
   }
   void on_store_record(char kind, DocId doc, int) override {
-    if (kind == 'F' || kind == 'E') own_.erase(doc), taken_.erase(doc), refused_.erase(doc);
+    if (kind == 'F' || kind == 'E')
+      direct_documents_.erase(doc), pending_acceptances_.erase(doc), refused_docs_.erase(doc);
   }
 
   void leave() override {
-    begin();
+    begin_turn();
     log_.module().release_leases();
-    soon();
+    schedule_turn();
   }
   std::string summary() const override {
     auto usage = log_.module().usage();
@@ -182,31 +187,31 @@
   }
 
  private:
-  struct Taken {
+  struct PendingAcceptance {
     StreamId stream{};
-    HybridTimestamp stamp;
-    Millis until = 0;
-    bool copied = false;
+    HybridTimestamp timestamp;
+    Millis deadline = 0;
+    bool replicated = false;
   };
 
-  const StreamSettings* stream_of(const StoredDocument& held) const {
-    // One without a key has no newest: it goes as any document, and is not kept.
-    if (held.order_key.find_first_not_of('0') == std::string::npos) return nullptr;
-    auto found = std::ranges::find(settings_.streams, held.doc_type, &StreamSettings::type);
+  const StreamSettings* stream_of(const StoredDocument& document) const {
+    // A document without a key is delivered as any other and not kept in the log.
+    if (document.order_key.find_first_not_of('0') == std::string::npos) return nullptr;
+    auto found = std::ranges::find(settings_.streams, document.doc_type, &StreamSettings::type);
     return found == settings_.streams.end() ? nullptr : &*found;
   }
   static bool subscribes(const StreamSettings& stream, DestinationId destination) {
     return std::ranges::find(stream.subscribers, destination) != stream.subscribers.end();
   }
-  // One line of a kind in a while.
+  // Suppresses repeated log lines.
   void report(const std::string& line) {
-    auto now = around_.loop.now();
-    if (line == reported_ && now < reported_at_ + 10000) return;
-    reported_ = line, reported_at_ = now;
+    auto now = relay_.loop.now();
+    if (line == last_reported_ && now < reported_at_ + 10000) return;
+    last_reported_ = line, reported_at_ = now;
     log_line("latest: %s", line.c_str());
   }
 
-  // Of the warming part: a key by one number.
+  // Identifies a key by one number, for the warm-up component.
   static std::uint64_t id_of(StreamId stream, const KeyHash& key) {
     return key.high ^ static_cast<std::uint64_t>(stream);
   }
@@ -217,39 +222,41 @@
     return 0;
   }
 
-  void begin() { log_.begin_turn(around_.loop.now(), EventLoop::wall_time()); }
-  void soon() { due_.set(around_.loop.now()); }
+  void begin_turn() { log_.begin_turn(relay_.loop.now(), EventLoop::wall_time()); }
+  void schedule_turn() { turn_timer_.set(relay_.loop.now()); }
 
   void turn() {
-    begin();
+    begin_turn();
     auto& module = log_.module();
     module.set_alive(membership_.alive());
-    auto live = static_cast<int>(around_.store.documents().size() -
-                                 std::min(around_.store.documents().size(), out_.size()));
-    module.set_waiting_documents(std::max(0, live - around_.config.settings.slots));
-    if (around_.loop.now() >= look_at_) look(), look_at_ = around_.loop.now() + look_every;
-    for (DocId doc : std::exchange(refused_, {})) around_.answer_client(doc, false);
-    for (DocId doc : std::exchange(late_for_own_, {})) {
-      // Its subscriber has had a newer one: it is abandoned, and its client told so.
-      if (!around_.store.documents().count(doc)) continue;
-      around_.begin_turn();
-      around_.decision.withdraw(doc);
-      around_.store.record_ended(doc, false, 0);
-      around_.resume_document(doc);
+    auto live = static_cast<int>(relay_.store.documents().size() -
+                                 std::min(relay_.store.documents().size(), deliveries_.size()));
+    module.set_waiting_documents(std::max(0, live - relay_.config.settings.slots));
+    if (relay_.loop.now() >= next_impairment_check_)
+      update_impaired_destinations(), next_impairment_check_ = relay_.loop.now() + impairment_check_interval;
+    for (DocId doc : std::exchange(refused_docs_, {})) relay_.answer_client(doc, false);
+    for (DocId doc : std::exchange(superseded_documents_, {})) {
+      // Its subscriber has received a newer one: the document is abandoned and its client notified.
+      if (!relay_.store.documents().count(doc)) continue;
+      relay_.begin_turn();
+      relay_.decision.withdraw(doc);
+      relay_.store.record_ended(doc, false, 0);
+      relay_.resume_document(doc);
     }
-    auto decided = log_.decide();
-    for (const auto& line : decided.log) report(line);
-    for (const auto& [to, message] : decided.sends) send(to, message);
-    answer(decided.replicated);
-    for (const auto& delivery : decided.withdraw) withdraw(delivery);
-    bool again = false;
-    for (const auto& delivery : decided.deliver)
-      if (!hand_in(delivery)) log_.module().on_delivery_ended(delivery, false), ++failed_, again = true;
-    Millis wake = again ? 0 : decided.wake_in;
-    if (wake >= 0) due_.set(around_.loop.now() + std::max(wake, around_.config.settings.tick));
+    auto actions = log_.decide();
+    for (const auto& line : actions.log) report(line);
+    for (const auto& [to, message] : actions.sends) send(to, message);
+    answer(actions.replicated);
+    for (const auto& delivery : actions.withdraw) withdraw(delivery);
+    bool retry = false;
+    for (const auto& delivery : actions.deliver)
+      if (!submit_delivery(delivery))
+        log_.module().on_delivery_ended(delivery, false), ++failed_, retry = true;
+    Millis wake = retry ? 0 : actions.wake_in;
+    if (wake >= 0) turn_timer_.set(relay_.loop.now() + std::max(wake, relay_.config.settings.tick));
   }
 
-  // What passes a frame's bound goes in parts, the one that asks for a note last.
+  // Splits messages above the frame limit; the part that asks for an acknowledgement goes last.
   void send(MemberId to, const LatestMessage& message) {
     auto bytes = packed(message);
     auto half = [](auto& from, auto& to) {
@@ -257,10 +264,11 @@
       to.assign(std::make_move_iterator(from.begin()), std::make_move_iterator(middle));
       from.erase(from.begin(), middle);
     };
-    bool divides = message.records.size() + message.delivery_states.size() + message.digests.size() +
-                       message.listings.size() + message.requested.size() + message.lease_requests.size() >
-                   1;
-    if (bytes.size() + 64 <= fleet_.max_frame_bytes || !divides) {
+    bool is_divisible = message.records.size() + message.delivery_states.size() + message.digests.size() +
+                            message.listings.size() + message.requested.size() +
+                            message.lease_requests.size() >
+                        1;
+    if (bytes.size() + 64 <= config_.max_frame_bytes || !is_divisible) {
       link_.send(to, Channel::latest, bytes);
       return;
     }
@@ -272,114 +280,116 @@
     send(to, first), send(to, rest);
   }
 
-  void answer(const std::vector<std::pair<StreamId, HybridTimestamp>>& copied) {
+  void answer(const std::vector<std::pair<StreamId, HybridTimestamp>>& replicated) {
     std::vector<std::pair<DocId, bool>> answers;
-    for (auto& [doc, taken] : taken_) {
-      auto one = std::pair(taken.stream, taken.stamp);
-      taken.copied |= std::ranges::find(copied, one) != copied.end();
-      if (taken.copied) answers.push_back({doc, true});
-      else if (around_.loop.now() >= taken.until) answers.push_back({doc, false});
+    for (auto& [doc, pending] : pending_acceptances_) {
+      auto one = std::pair(pending.stream, pending.timestamp);
+      pending.replicated |= std::ranges::find(replicated, one) != replicated.end();
+      if (pending.replicated) answers.push_back({doc, true});
+      else if (relay_.loop.now() >= pending.deadline) answers.push_back({doc, false});
     }
-    for (auto [doc, copied] : answers) {
-      around_.answer_client(doc, copied);
-      if (!copied) taken_.erase(doc), own_.erase(doc);
+    for (auto [doc, replicated] : answers) {
+      relay_.answer_client(doc, replicated);
+      if (!replicated) pending_acceptances_.erase(doc), direct_documents_.erase(doc);
     }
   }
 
-  // Which subscribers' destinations are held, shut or returning cold: no backlog is begun there.
-  void look() {
-    std::set<std::pair<bool, std::uint64_t>> resting;
-    for (const auto& known : around_.decision.route_statuses(true))
-      if (known.retry_after_left > 0 || known.state != RouteState::healthy)
-        resting.insert({known.per_endpoint, known.route});
-    std::map<DestinationId, std::pair<int, int>> endpoints;  // listed, and of those resting
-    for (const auto& [id, entry] : around_.listed_endpoints) {
+  // Updates which subscribers' destinations are waiting, down or in slow start: no backlog is started there.
+  void update_impaired_destinations() {
+    std::set<std::pair<bool, std::uint64_t>> impaired;
+    for (const auto& status : relay_.decision.route_statuses(true))
+      if (status.retry_after_left > 0 || status.state != RouteState::healthy)
+        impaired.insert({status.per_endpoint, status.route});
+    std::map<DestinationId, std::pair<int, int>> endpoints;  // listed endpoints, and those impaired
+    for (const auto& [id, entry] : relay_.listed_endpoints) {
       if (entry.status != EndpointStatus::ready) continue;
-      auto& [listed, rests] = endpoints[entry.destination];
-      ++listed, rests += resting.count({true, static_cast<std::uint64_t>(id)}) > 0;
+      auto& [listed, impaired_count] = endpoints[entry.destination];
+      ++listed, impaired_count += impaired.count({true, static_cast<std::uint64_t>(id)}) > 0;
     }
     for (const auto& stream : settings_.streams)
       for (auto subscriber : stream.subscribers) {
-        auto [listed, rests] = endpoints[subscriber];
+        auto [listed, impaired_count] = endpoints[subscriber];
         log_.module().set_destination_impaired(
-            subscriber, resting.count({false, static_cast<std::uint64_t>(subscriber)}) > 0 ||
-                            (listed > 0 && rests == listed));
+            subscriber, impaired.count({false, static_cast<std::uint64_t>(subscriber)}) > 0 ||
+                            (listed > 0 && impaired_count == listed));
       }
   }
 
-  // One document of the decision module for one subscriber. It is not written to the store's file: the log
-  // and the marks are what outlives the process.
-  bool hand_in(const CompactedLog::Delivery& delivery) {
+  // Adds a document for one subscriber to the decision module. It is not written to the store's file: the log
+  // and the delivery states are what survives the process.
+  bool submit_delivery(const CompactedLog::Delivery& delivery) {
     auto record = log_.read(delivery.subscription.stream, delivery.key);
     if (!record || record->timestamp != delivery.timestamp) return false;
     auto stream = std::ranges::find(settings_.streams, delivery.subscription.stream, &StreamSettings::id);
-    auto type = around_.config.doc_types.find(stream->type);
+    auto type = relay_.config.doc_types.find(stream->type);
     auto subscriber = std::to_string(static_cast<std::uint64_t>(delivery.subscription.subscriber));
-    StoredDocument held;
-    held.id = record->id + "." + subscriber;
+    StoredDocument document;
+    document.id = record->id + "." + subscriber;
     auto bytes =
-        held.id.size() + record->idempotency_key.size() + record->body.size() + record->key.size() + 128;
-    if (type == around_.config.doc_types.end() ||
-        !around_.decision.has_destination(delivery.subscription.subscriber) ||
-        !around_.decision.has_capacity() || around_.store.contains(held.id) || !around_.store.has_room(bytes))
+        document.id.size() + record->idempotency_key.size() + record->body.size() + record->key.size() + 128;
+    if (type == relay_.config.doc_types.end() ||
+        !relay_.decision.has_destination(delivery.subscription.subscriber) ||
+        !relay_.decision.has_capacity() || relay_.store.contains(document.id) ||
+        !relay_.store.has_room(bytes))
       return false;
-    held.idempotency_key = record->idempotency_key, held.body = record->body, held.tenant = record->tenant;
-    // In order for each subscriber: one that is down must not keep the key from the others.
-    held.order_key = record->key + "." + subscriber;
-    held.doc_type = stream->type, held.type = type->second;
-    held.max_transmissions = around_.config.settings.max_transmissions;
-    held.destination = delivery.subscription.subscriber,
-    held.expiry = EventLoop::wall_time() + type->second.lifetime;
-    around_.begin_turn();
-    auto doc = around_.store.add(std::move(held));
-    out_[doc] = delivery;
-    around_.resume_document(doc);
+    document.idempotency_key = record->idempotency_key, document.body = record->body,
+    document.tenant = record->tenant;
+    // The order key is per subscriber, so that one that is down does not block the key for others.
+    document.order_key = record->key + "." + subscriber;
+    document.doc_type = stream->type, document.type = type->second;
+    document.max_transmissions = relay_.config.settings.max_transmissions;
+    document.destination = delivery.subscription.subscriber,
+    document.expiry = EventLoop::wall_time() + type->second.lifetime;
+    relay_.begin_turn();
+    auto doc = relay_.store.add(std::move(document));
+    deliveries_[doc] = delivery;
+    relay_.resume_document(doc);
     return true;
   }
 
-  void failed(DocId doc) {
-    auto found = out_.find(doc);
-    if (found == out_.end()) return;
+  void on_delivery_failed(DocId doc) {
+    auto found = deliveries_.find(doc);
+    if (found == deliveries_.end()) return;
     auto delivery = found->second;
-    out_.erase(found), ++failed_;
-    around_.store.remove(doc);
-    begin();
+    deliveries_.erase(found), ++failed_;
+    relay_.store.remove(doc);
+    begin_turn();
     log_.module().on_delivery_ended(delivery, false);
-    soon();
+    schedule_turn();
   }
 
   void withdraw(const CompactedLog::Delivery& delivery) {
-    auto found = std::ranges::find_if(out_, [&](const auto& one) { return one.second == delivery; });
-    if (found == out_.end()) return;
+    auto found = std::ranges::find_if(deliveries_, [&](const auto& one) { return one.second == delivery; });
+    if (found == deliveries_.end()) return;
     auto doc = found->first;
-    // Its call may still be answered: then the subscriber has had it.
-    if (late_.size() >= 1024) late_.erase(late_.begin());
-    late_[doc] = delivery;
-    out_.erase(found);
-    around_.discard_document(doc);
+    // Its call may still succeed; the subscriber has then received it.
+    if (withdrawn_deliveries_.size() >= 1024) withdrawn_deliveries_.erase(withdrawn_deliveries_.begin());
+    withdrawn_deliveries_[doc] = delivery;
+    deliveries_.erase(found);
+    relay_.discard_document(doc);
   }
 
-  RelayContext& around_;
-  const FleetConfig& fleet_;
+  RelayContext& relay_;
+  const FleetConfig& config_;
   fleet::Membership& membership_;
   Link& link_;
-  const std::shared_ptr<ComponentHooks> offers_;
+  const std::shared_ptr<ComponentHooks> hooks_;
   const LatestSettings settings_;
   PersistentLog log_;
-  Timer due_;
-  std::map<DocId, CompactedLog::Delivery> out_, own_, late_;
-  std::map<DocId, Taken> taken_;  // in the log, and not answered yet
-  std::set<DocId> refused_, late_for_own_;
-  Millis look_at_ = 0, reported_at_ = 0;
-  std::string reported_;
+  Timer turn_timer_;
+  std::map<DocId, CompactedLog::Delivery> deliveries_, direct_documents_, withdrawn_deliveries_;
+  std::map<DocId, PendingAcceptance> pending_acceptances_;  // in the log, not answered yet
+  std::set<DocId> refused_docs_, superseded_documents_;
+  Millis next_impairment_check_ = 0, reported_at_ = 0;
+  std::string last_reported_;
   std::uint64_t delivered_ = 0, failed_ = 0;
 };
 
 }  // namespace
 
-std::unique_ptr<FleetComponent> make_streams(const ComponentContext& place) {
-  if (place.config.streams.empty()) return nullptr;
-  return std::make_unique<LatestPart>(place);
+std::unique_ptr<FleetComponent> make_streams(const ComponentContext& context) {
+  if (context.config.streams.empty()) return nullptr;
+  return std::make_unique<StreamsComponent>(context);
 }
 
 }  // namespace rockcrank::peer
--- a/src/peer/warmup.cpp
+++ b/src/peer/warmup.cpp
@@ -1,7 +1,6 @@
-// The host of warming: it feeds the popularity list from outcomes, carries questions and lists between
-// members, and opens the connections that the warmer names, each once the decision module has said that it
-// may go up and only to endpoints that this relay's own list has. It must never decide itself, nor open
-// before documents go.
+// The warm-up component: feeds the popularity list from outcomes, exchanges requests and lists with other
+// members, and opens the connections that the warm-up module asks for. A connection is opened only if the
+// decision module permits it and the endpoint is in this relay's own list. Documents take precedence.
 
 #include <optional>
 #include <tuple>
@@ -18,51 +17,54 @@
 using warm::ItemKind;
 using warm::Warmer;
 
-class WarmPart final : public FleetComponent {
+class WarmupComponent final : public FleetComponent {
  public:
-  explicit WarmPart(const ComponentContext& place)
-      : around_(place.relay),
-        fleet_(place.config),
-        membership_(place.membership),
-        link_(place.link),
-        offers_(place.hooks),
-        seed_(place.seed),
-        due_(place.relay.loop, [this] { settle(); }) {
-    around_.endpoints.on_preconnect = [this](EndpointId endpoint, Endpoints::PreconnectEvent what) {
-      using Fate = Warmer::ConnectionEvent;
-      constexpr Fate fates[] = {Fate::connected, Fate::used, Fate::failed, Fate::unused};
-      mind().on_connection_event(endpoint, fates[static_cast<int>(what)]);
+  explicit WarmupComponent(const ComponentContext& context)
+      : relay_(context.relay),
+        config_(context.config),
+        membership_(context.membership),
+        link_(context.link),
+        hooks_(context.hooks),
+        seed_(context.seed),
+        turn_timer_(context.relay.loop, [this] { run_turn(); }) {
+    relay_.endpoints.on_preconnect = [this](EndpointId endpoint, Endpoints::PreconnectEvent event) {
+      using Event = Warmer::ConnectionEvent;
+      constexpr Event events[] = {Event::connected, Event::used, Event::failed, Event::unused};
+      open_turn().on_connection_event(endpoint, events[static_cast<int>(event)]);
     };
-    offers_->on_key_delivered = [this](std::uint64_t key, Millis took) {
-      mind().record_use(ItemKind::key, key, took);
+    hooks_->on_key_delivered = [this](std::uint64_t key, Millis duration) {
+      open_turn().record_use(ItemKind::key, key, duration);
     };
   }
-  ~WarmPart() override { around_.endpoints.on_preconnect = nullptr, offers_->on_key_delivered = nullptr; }
+  ~WarmupComponent() override {
+    relay_.endpoints.on_preconnect = nullptr, hooks_->on_key_delivered = nullptr;
+  }
 
-  void start() override { mind(); }
+  void start() override { open_turn(); }
   void on_message(fleet::MemberId from, std::string_view payload) override {
-    mind().on_message(from, unpacked<warm::WarmupMessage>(payload));
+    open_turn().on_message(from, unpacked<warm::WarmupMessage>(payload));
   }
   void on_link_change(fleet::MemberId peer, fleet::Incarnation, bool up) override {
-    mind().on_link_change(peer, up);
+    open_turn().on_link_change(peer, up);
   }
   void on_member_change(fleet::MemberId, fleet::Incarnation, fleet::MemberState) override {
-    mind().set_alive(membership_.alive());
+    open_turn().set_alive(membership_.alive());
   }
-  void on_declared_dead() override { mind().on_stall(); }
+  void on_declared_dead() override { open_turn().on_stall(); }
   void on_outcome(const Outcome& outcome) override {
     if (outcome.result == TransmissionResult::not_connected || outcome.result == TransmissionResult::not_sent)
       return;
-    // Documents of one call end together: it is one use of its connection.
-    auto call = std::tuple(outcome.endpoint, around_.loop.now(), outcome.duration);
+    // Documents of one call end together and count as one use of its connection.
+    auto call = std::tuple(outcome.endpoint, relay_.loop.now(), outcome.duration);
     if (std::exchange(last_call_, call) == call) return;
-    mind().record_use(ItemKind::endpoint, static_cast<std::uint64_t>(outcome.endpoint), outcome.duration);
+    open_turn().record_use(ItemKind::endpoint, static_cast<std::uint64_t>(outcome.endpoint),
+                           outcome.duration);
   }
-  void after_turn(const Actions& decided) override {
-    // A turn without documents changes nothing for a warmer that has ended.
-    if (warmer_ && warmer_->is_finished() && !open_) return;
-    went_ = static_cast<int>(decided.transmissions.size());
-    mind();
+  void after_turn(const Actions& actions) override {
+    // A turn without documents does not affect a finished warm-up.
+    if (warmer_ && warmer_->is_finished() && !turn_open_) return;
+    transmissions_ = static_cast<int>(actions.transmissions.size());
+    open_turn();
   }
 
   std::string summary() const override {
@@ -73,72 +75,73 @@
   }
 
  private:
-  // Opens a turn, if none is open.
-  Warmer& mind() {
+  // Opens a turn if none is open.
+  Warmer& open_turn() {
     if (!warmer_) {
       warm::WarmupBudget budget;
-      budget.max_neighbours = fleet_.warmup_max_neighbours,
-      budget.max_connections = fleet_.warmup_max_connections;
-      budget.max_list_items = fleet_.warmup_max_list_items, budget.max_bytes = fleet_.warmup_max_bytes;
-      budget.time_limit = fleet_.warmup_time_limit, budget.idle_timeout = around_.config.idle_timeout;
-      // What was handed over whole has its connections: there is nothing to warm.
-      bool cold = around_.endpoints.connections() == 0;
-      warmer_ = Warmer::make(fleet_.roster, fleet_.self, budget, cold, seed_);
+      budget.max_neighbours = config_.warmup_max_neighbours,
+      budget.max_connections = config_.warmup_max_connections;
+      budget.max_list_items = config_.warmup_max_list_items, budget.max_bytes = config_.warmup_max_bytes;
+      budget.time_limit = config_.warmup_time_limit, budget.idle_timeout = relay_.config.idle_timeout;
+      // After a handover the connections exist already and there is nothing to warm up.
+      bool cold = relay_.endpoints.connections() == 0;
+      warmer_ = Warmer::make(config_.roster, config_.self, budget, cold, seed_);
     }
-    if (!std::exchange(open_, true)) {
-      warmer_->begin_turn(around_.loop.now());
-      if (!std::exchange(told_members_, true)) warmer_->set_alive(membership_.alive());
-      due_.set(around_.loop.now());
+    if (!std::exchange(turn_open_, true)) {
+      warmer_->begin_turn(relay_.loop.now());
+      if (!std::exchange(members_set_, true)) warmer_->set_alive(membership_.alive());
+      turn_timer_.set(relay_.loop.now());
     }
     return *warmer_;
   }
 
-  void settle() {
-    Warmer& warmer = mind();
-    int free = around_.config.settings.slots - static_cast<int>(around_.endpoints.calls_in_flight());
-    warmer.set_load(std::exchange(went_, 0), free);
+  void run_turn() {
+    Warmer& warmer = open_turn();
+    int free_slots = relay_.config.settings.slots - static_cast<int>(relay_.endpoints.calls_in_flight());
+    warmer.set_load(std::exchange(transmissions_, 0), free_slots);
     if (!warmer.is_finished())
-      warmer.set_state_known(!offers_->is_state_caught_up || offers_->is_state_caught_up());
-    auto decided = warmer.decide();
-    open_ = false, due_.clear();
-    for (const auto& line : decided.log) log_line("%s", line.c_str());
-    for (const auto& send : decided.sends) link_.send(send.to, Channel::warm, packed(send.message));
-    if (!decided.sync_first.empty() && offers_->set_catch_up_order)
-      offers_->set_catch_up_order(decided.sync_first);
-    for (const auto& ahead : decided.preconnects) open(ahead);
-    for (auto id : decided.bodies_to_load)
-      mind().on_body_loaded(offers_->preload_key ? offers_->preload_key(id) : 0);
-    if (!open_ && decided.wake_in >= 0) due_.set(around_.loop.now() + decided.wake_in);
+      warmer.set_state_known(!hooks_->is_state_caught_up || hooks_->is_state_caught_up());
+    auto actions = warmer.decide();
+    turn_open_ = false, turn_timer_.clear();
+    for (const auto& line : actions.log) log_line("%s", line.c_str());
+    for (const auto& send : actions.sends) link_.send(send.to, Channel::warm, packed(send.message));
+    if (!actions.sync_first.empty() && hooks_->set_catch_up_order)
+      hooks_->set_catch_up_order(actions.sync_first);
+    for (const auto& ahead : actions.preconnects) open(ahead);
+    for (auto id : actions.bodies_to_load)
+      open_turn().on_body_loaded(hooks_->preload_key ? hooks_->preload_key(id) : 0);
+    if (!turn_open_ && actions.wake_in >= 0) turn_timer_.set(relay_.loop.now() + actions.wake_in);
   }
 
   void open(const Warmer::Preconnect& ahead) {
-    int up = around_.endpoints.connections(ahead.endpoint);
-    // Guards against a lender that names what this relay's list has not, or has no longer.
-    if (!around_.listed_endpoints.count(ahead.endpoint) || up >= ahead.max_connections)
-      return mind().on_preconnect_unneeded(ahead.endpoint);
-    around_.begin_turn();  // the module answers as of now
-    bool may = around_.decision.may_preconnect(ahead.endpoint, up);
-    if (!may || !around_.endpoints.preconnect(ahead.endpoint)) mind().on_preconnect_refused(ahead.endpoint);
+    int up = relay_.endpoints.connections(ahead.endpoint);
+    // A neighbour may name an endpoint that is not, or no longer, in this relay's list.
+    if (!relay_.listed_endpoints.count(ahead.endpoint) || up >= ahead.max_connections)
+      return open_turn().on_preconnect_unneeded(ahead.endpoint);
+    relay_.begin_turn();  // so that the decision module uses the current time
+    bool permitted = relay_.decision.may_preconnect(ahead.endpoint, up);
+    if (!permitted || !relay_.endpoints.preconnect(ahead.endpoint))
+      open_turn().on_preconnect_refused(ahead.endpoint);
   }
 
-  RelayContext& around_;
-  const FleetConfig& fleet_;
+  RelayContext& relay_;
+  const FleetConfig& config_;
   fleet::Membership& membership_;
   Link& link_;
-  const std::shared_ptr<ComponentHooks> offers_;
+  const std::shared_ptr<ComponentHooks> hooks_;
   const std::uint64_t seed_;
-  Timer due_;
+  Timer turn_timer_;
   std::unique_ptr<Warmer> warmer_;
   std::tuple<EndpointId, Millis, Millis> last_call_{};
-  int went_ = 0;
-  bool open_ = false, told_members_ = false;
+  int transmissions_ = 0;
+  bool turn_open_ = false, members_set_ = false;
 };
 
 }  // namespace
 
-std::unique_ptr<FleetComponent> make_warmup(const ComponentContext& place) {
-  if (!place.config.warmup_enabled) return nullptr;
-  return std::make_unique<WarmPart>(place);
+std::unique_ptr<FleetComponent> make_warmup(const ComponentContext& context) {
+  if (!context.config.warmup_enabled) return nullptr;
+  return std::make_unique<WarmupComponent>(context);
 }
 
 }  // namespace rockcrank::peer
--- a/tests/fleet/segments_test.cpp
+++ b/tests/fleet/segments_test.cpp
@@ -1,5 +1,5 @@
-// The log's files under crashes and a full disk, at every step: what was appended is there again, and the
-// newest of each key above all.
+// Tests the log's files under crashes and a full disk at every step: appended records, and the newest of each
+// key in particular, must be recovered.
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
 using namespace latest;
 
 constexpr StreamId stream{7};
-const fleet::Roster alone{{fleet::MemberId(1), "n1", "h0"}};
+const fleet::Roster single_member{{fleet::MemberId(1), "n1", "h0"}};
 
 LatestSettings small(std::size_t disk = 1 << 16) {
   LatestSettings settings;
@@ -33,36 +33,36 @@
 
 std::unique_ptr<PersistentLog> open(const std::shared_ptr<InMemoryDisk>& disk, Millis now,
                                     std::size_t most = 1 << 16) {
-  return std::make_unique<PersistentLog>(std::make_unique<InMemoryFiles>(disk), "log", alone,
+  return std::make_unique<PersistentLog>(std::make_unique<InMemoryFiles>(disk), "log", single_member,
                                          fleet::MemberId(1), small(most), 1000, 1, now, 1e6 + now);
 }
 
-// What a run was told is kept; the last append may have been under way.
-struct Told {
+// What was acknowledged; the last append may have been in progress.
+struct Acknowledged {
   std::map<std::string, std::string> newest;
-  std::string under_way_key, under_way_id;
+  std::string pending_key, pending_id;
 };
 
-void audit(PersistentLog& log, const Told& told, const std::string& when) {
-  for (const auto& [key, id] : told.newest) {
+void audit(PersistentLog& log, const Acknowledged& acknowledged, const std::string& when) {
+  for (const auto& [key, id] : acknowledged.newest) {
     auto found = log.read(stream, key_hash(key));
     ASSERT_TRUE(found) << when << ": " << key << " is lost";
-    bool torn = key == told.under_way_key && found->id == told.under_way_id;
+    bool torn = key == acknowledged.pending_key && found->id == acknowledged.pending_id;
     EXPECT_TRUE(found->id == id || torn) << when << ": " << key << " is at " << found->id << ", not " << id;
   }
 }
 
-// Appends with compactions in between; deliveries end at once, so that marks are written too.
-void play(PersistentLog& log, Told& told, Millis& now, int from, int to) {
+// Appends with compactions in between; deliveries end at once, so that delivery states are written too.
+void run_workload(PersistentLog& log, Acknowledged& acknowledged, Millis& now, int from, int to) {
   for (int i = from; i < to; ++i) {
     now += 1, log.begin_turn(now, 1e6 + now);
     auto one = record(i * i % 11, i);
-    told.under_way_key = one.key, told.under_way_id = one.id;
+    acknowledged.pending_key = one.key, acknowledged.pending_id = one.id;
     try {
       log.append_local(one);
-      told.newest[one.key] = one.id;
+      acknowledged.newest[one.key] = one.id;
     } catch (const fleet::StorageUnavailable&) {}
-    told.under_way_key.clear();
+    acknowledged.pending_key.clear();
     for (int turn = 0; turn < 3; ++turn) {
       now += 10, log.begin_turn(now, 1e6 + now);
       for (const auto& going : log.decide().deliver) log.module().on_delivery_ended(going, true);
@@ -76,48 +76,48 @@
   return lines;
 }
 
-TEST(Segments, KilledBetweenAnyTwoSteps) {
+TEST(Segments, SurvivesAKillBetweenAnyTwoSteps) {
   auto counting = std::make_shared<InMemoryDisk>();
   Millis now = 0;
-  Told whole;
+  Acknowledged whole;
   auto log = open(counting, now);
-  play(*log, whole, now, 0, 120);
+  run_workload(*log, whole, now, 0, 120);
   ASSERT_GT(log->module().usage().compacted_bytes, 0u);
   int steps = counting->step_count;
   ASSERT_GT(steps, 300);
-  // Short: only a part of that step's bytes are written before the end.
+  // is_short: only part of that step's bytes is written.
   for (bool is_short : {false, true})
     for (int stop = 1; stop <= steps; ++stop) {
       auto disk = std::make_shared<InMemoryDisk>();
       disk->crash_at_step = stop, disk->writes_partially = is_short;
-      Told told;
+      Acknowledged acknowledged;
       now = 0;
       try {
-        play(*open(disk, now), told, now, 0, 120);
+        run_workload(*open(disk, now), acknowledged, now, 0, 120);
       } catch (const SimulatedCrash&) {}
       disk->crash_at_step = 0;
       auto when = "killed at step " + std::to_string(stop) + (is_short ? ", short" : "");
       auto again = open(disk, now);
-      audit(*again, told, when);
-      play(*again, told, now, 120, 140);
-      audit(*again, told, when + ", gone on");
+      audit(*again, acknowledged, when);
+      run_workload(*again, acknowledged, now, 120, 140);
+      audit(*again, acknowledged, when + ", gone on");
       again.reset();
-      audit(*open(disk, now), told, when + ", started again");
+      audit(*open(disk, now), acknowledged, when + ", started again");
       if (HasFatalFailure() || HasNonfatalFailure()) return;
     }
 }
 
-// The machine loses power in the middle of compactions: what was never flushed is gone.
-TEST(Segments, PowerCutInACompactionLosesNothing) {
+// Power fails during compactions: unsynced data is lost.
+TEST(Segments, SurvivesAPowerFailureInACompaction) {
   for (int stop = 1;; ++stop) {
     auto disk = std::make_shared<InMemoryDisk>();
-    Told told;
+    Acknowledged acknowledged;
     Millis now = 0;
     auto log = open(disk, now);
     for (int i = 0; i < 60; ++i) {
       now += 1, log->begin_turn(now, 1e6 + now);
       auto one = record(i * i % 11, i);
-      log->append_local(one), told.newest[one.key] = one.id;
+      log->append_local(one), acknowledged.newest[one.key] = one.id;
     }
     disk->flush();
     disk->crash_at_step = disk->step_count + stop;
@@ -132,19 +132,19 @@
     }
     disk->crash_at_step = 0, disk->cut_power();
     log = open(disk, now);
-    audit(*log, told, "cut at step " + std::to_string(stop));
+    audit(*log, acknowledged, "cut at step " + std::to_string(stop));
     if (HasFatalFailure() || HasNonfatalFailure()) return;
   }
 }
 
-// A key's end must stay on disk for as long as anything older of the key does, also in another segment.
+// A tombstone must stay on disk for as long as any older record of its key does, also in another segment.
 TEST(Segments, TombstoneOutlivesOlderRecordsOnDisk) {
   auto disk = std::make_shared<InMemoryDisk>();
   Millis now = 0;
   auto settings = small();
   settings.streams[0].tombstone_retention = 1000, settings.streams[0].subscribers.clear();
   auto start = [&] {
-    return std::make_unique<PersistentLog>(std::make_unique<InMemoryFiles>(disk), "log", alone,
+    return std::make_unique<PersistentLog>(std::make_unique<InMemoryFiles>(disk), "log", single_member,
                                            fleet::MemberId(1), settings, 1000, 1, now, 1e6 + now);
   };
   auto log = start();
@@ -153,18 +153,19 @@
   };
   log->append_local(record(99, 0));
   for (int i = 0; i < 19; ++i)
-    log->append_local(record(i, i + 1));  // these stay: their segment is not worth it
+    log->append_local(record(i, i + 1));  // these stay: their segment is below the dirty ratio
   auto ending = record(99, 50);
   ending.body.clear(), log->append_local(ending);
   for (int i = 20; i < 30; ++i) log->append_local(record(i, 60 + i));
   for (int i = 0; i < 40; ++i) log->append_local(record(50, 100 + i));
   turns(60);
-  for (int i = 20; i < 30; ++i) log->append_local(record(i, 200 + i));  // what lies beside the end goes
+  for (int i = 20; i < 30; ++i)
+    log->append_local(record(i, 200 + i));  // records beside the tombstone are superseded
   turns(200);
   log.reset(), log = start();
   auto found = log->read(stream, key_hash("key99"));
-  EXPECT_TRUE(!found || found->body.empty()) << "an ended key is back";
-  for (int round = 0; round < 3; ++round)  // once the older one is gone, so is the end
+  EXPECT_TRUE(!found || found->body.empty()) << "a deleted key is back";
+  for (int round = 0; round < 3; ++round)  // once the older record is gone, the tombstone goes too
     for (int i = 0; i < 19; ++i) log->append_local(record(i, 1000 + 100 * round + i)), turns(2);
   turns(200);
   EXPECT_FALSE(log->read(stream, key_hash("key99")));
@@ -172,50 +173,50 @@
   EXPECT_FALSE(log->read(stream, key_hash("key99")));
 }
 
-TEST(Segments, DiskFullInTheMiddleLosesNothing) {
+TEST(Segments, LosesNothingWhenTheDiskFills) {
   std::size_t torn = 0;
   for (std::size_t room = 17000; room < 50000; room += 331) {
     auto disk = std::make_shared<InMemoryDisk>();
     disk->capacity = room;
-    Told told;
+    Acknowledged acknowledged;
     Millis now = 0;
     auto when = "full at " + std::to_string(room);
     std::unique_ptr<PersistentLog> log;
     try {
       log = open(disk, now);
     } catch (const fleet::StorageUnavailable&) { continue; }
-    play(*log, told, now, 0, 150);
-    audit(*log, told, when);
-    torn += told.newest.size() < 11 || disk->used_bytes() == room;
+    run_workload(*log, acknowledged, now, 0, 150);
+    audit(*log, acknowledged, when);
+    torn += acknowledged.newest.size() < 11 || disk->used_bytes() == room;
     if (room % 2 == 0) log.reset(), log = open(disk, now);
-    audit(*log, told, when + ", started again");
-    disk->capacity = 1 << 20;  // freed: all goes on
-    play(*log, told, now, 150, 180);
-    EXPECT_EQ(told.newest.at("key" + std::to_string(179 * 179 % 11)), "d179") << when;
-    audit(*log, told, when + ", freed");
+    audit(*log, acknowledged, when + ", started again");
+    disk->capacity = 1 << 20;  // space is freed
+    run_workload(*log, acknowledged, now, 150, 180);
+    EXPECT_EQ(acknowledged.newest.at("key" + std::to_string(179 * 179 % 11)), "d179") << when;
+    audit(*log, acknowledged, when + ", freed");
   }
   EXPECT_GT(torn, 10u);  // the disk was full in the middle
 }
 
-TEST(Segments, NeverLargerThanItsRoomAndGoesOn) {
+TEST(Segments, StaysWithinItsDiskLimit) {
   auto disk = std::make_shared<InMemoryDisk>();
   constexpr std::size_t most = 1 << 16;
   auto log = open(disk, 0, most);
-  Told told;
+  Acknowledged acknowledged;
   Millis now = 0;
   std::size_t largest = 0;
   for (int i = 0; i < 3000; i += 10) {
-    play(*log, told, now, i, i + 10);
+    run_workload(*log, acknowledged, now, i, i + 10);
     largest = std::max(largest, log->segments().disk_bytes());
   }
   EXPECT_LE(largest, most);
-  EXPECT_EQ(told.newest.at("key" + std::to_string(2999 * 2999 % 11)), "d2999");
+  EXPECT_EQ(acknowledged.newest.at("key" + std::to_string(2999 * 2999 % 11)), "d2999");
   EXPECT_LT(log->module().usage().segment_bytes, 20u * 11 * 300);
-  audit(*log, told, "after many");
+  audit(*log, acknowledged, "after many");
 }
 
-// More keys than fit: refused with NoRoom, and no key that was taken is lost.
-TEST(Segments, RefusesWhatDoesNotFit) {
+// More keys than fit are refused with StorageUnavailable, and no accepted key is lost.
+TEST(Segments, RefusesRecordsThatDoNotFit) {
   auto disk = std::make_shared<InMemoryDisk>();
   Millis now = 0;
   std::set<int> kept;
@@ -237,10 +238,10 @@
   for (int i : kept) EXPECT_TRUE(log->read(stream, key_hash("key" + std::to_string(i)))) << i;
 }
 
-TEST(Segments, DamageIsNamedAndSetAsideAndTheRestIsSaved) {
+TEST(Segments, ReportsAndRenamesADamagedSegmentAndSavesTheRest) {
   auto disk = std::make_shared<InMemoryDisk>();
   Millis now = 0;
-  Told told;
+  Acknowledged acknowledged;
   {
     auto log = open(disk, now);
     for (int i = 0; i < 30; ++i) {
@@ -257,7 +258,7 @@
   auto lines = file_lines(*log);
   ASSERT_EQ(lines.size(), 1u);
   EXPECT_NE(lines[0].find(name + " at byte"), std::string::npos) << lines[0];
-  EXPECT_NE(lines[0].find("check sum"), std::string::npos) << lines[0];
+  EXPECT_NE(lines[0].find("a record's checksum does not match"), std::string::npos) << lines[0];
   EXPECT_TRUE(disk->files.count(name + ".bad"));
   EXPECT_FALSE(disk->files.count(name));
   int found = 0;
@@ -267,7 +268,7 @@
   EXPECT_TRUE(file_lines(*open(disk, now)).empty());
 }
 
-TEST(Segments, ForeignFutureAndLostFilesAreNamed) {
+TEST(Segments, ReportsForeignAndMissingFiles) {
   auto disk = std::make_shared<InMemoryDisk>();
   Millis now = 0;
   {
@@ -277,7 +278,7 @@
   auto manifest = disk->files.at("manifest");
   disk->files["manifest"] = "nothing that a manifest would hold, but long enough for a frame";
   {
-    auto log = open(disk, now);  // read again from the segments
+    auto log = open(disk, now);  // rebuilt from the segments
     auto lines = file_lines(*log);
     EXPECT_TRUE(lines.size() == 1 && lines[0].find("manifest at byte 0") != std::string::npos);
     for (int i = 0; i < 40; ++i) EXPECT_TRUE(log->read(stream, key_hash("key" + std::to_string(i)))) << i;
--- a/tests/fleet/state_file_test.cpp
+++ b/tests/fleet/state_file_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the file that keeps what a relay knows: each way in which it may not be used, and its bounds.
+// Tests the state file: every reason to reject it, and its size limits.
 
 #include "peer/state_file.h"
 
@@ -37,99 +37,99 @@
     return word;
   }
   static ClockReading at(Millis wall, const std::string& boot = "b1") { return {boot, wall - 5000, wall}; }
-  void written(const std::vector<RegisterRecord>& words, const ClockReading& when) {
+  void write_file(const std::vector<RegisterRecord>& records, const ClockReading& when) {
     StateFile file(path, "f", MemberId{7});
-    std::string why;
-    ASSERT_TRUE(file.write(words, when, why)) << why;
+    std::string error_text;
+    ASSERT_TRUE(file.write(records, when, error_text)) << error_text;
   }
-  // Set aside and named with these words.
-  void refused(const ClockReading& now, const std::string& words, const std::string& fleet = "f",
-               MemberId member = MemberId{7}) {
+  // Expects that the file is set aside and that the error contains this text.
+  void expect_rejected(const ClockReading& now, const std::string& text, const std::string& fleet = "f",
+                       MemberId member = MemberId{7}) {
     StateFile file(path, fleet, member);
-    std::string why;
-    EXPECT_FALSE(file.read(now, why));
-    EXPECT_NE(why.find(words), std::string::npos) << why;
-    EXPECT_NE(why.find(path), std::string::npos) << why;
+    std::string error_text;
+    EXPECT_FALSE(file.read(now, error_text));
+    EXPECT_NE(error_text.find(text), std::string::npos) << error_text;
+    EXPECT_NE(error_text.find(path), std::string::npos) << error_text;
     EXPECT_FALSE(std::filesystem::exists(path));
     EXPECT_TRUE(std::filesystem::exists(path + ".1.aside"));
-    EXPECT_FALSE(file.read(now, why));
-    EXPECT_TRUE(why.empty());
+    EXPECT_FALSE(file.read(now, error_text));
+    EXPECT_TRUE(error_text.empty());
   }
   std::string bytes() const {
     std::ifstream file(path, std::ios::binary);
     return {std::istreambuf_iterator<char>(file), {}};
   }
-  void put(const std::string& all) const { std::ofstream(path, std::ios::binary) << all; }
+  void write_bytes(const std::string& all) const { std::ofstream(path, std::ios::binary) << all; }
 
   std::string folder, path;
 };
 
-TEST_F(StateFileTest, KeepsWordsAndTheTimeGone) {
-  written({wait(1, 60e3), wait(2, 70e3)}, at(1e12));
+TEST_F(StateFileTest, RestoresRecordsAndElapsedTime) {
+  write_file({wait(1, 60e3), wait(2, 70e3)}, at(1e12));
   StateFile file(path, "f", MemberId{7});
-  std::string why;
-  auto kept = file.read(at(1e12 + 12345), why);
-  ASSERT_TRUE(kept) << why;
+  std::string error_text;
+  auto kept = file.read(at(1e12 + 12345), error_text);
+  ASSERT_TRUE(kept) << error_text;
   EXPECT_NEAR(kept->elapsed, 12345, 0.01);
   ASSERT_EQ(kept->records.size(), 2u);
   EXPECT_EQ(kept->records[1].name, wait(2, 0).name);
   EXPECT_EQ(kept->records[1].duration, 70e3);
 }
 
-TEST_F(StateFileTest, AStepOfTheWallClockOnOneMachineDoesNotMatter) {
-  written({wait(1, 60e3)}, at(1e12));
+TEST_F(StateFileTest, IgnoresAWallClockStepWithinOneBoot) {
+  write_file({wait(1, 60e3)}, at(1e12));
   ClockReading now = at(1e12 + 2000);
   now.wall_time -= 3600e3;
   StateFile file(path, "f", MemberId{7});
-  std::string why;
-  auto kept = file.read(now, why);
-  ASSERT_TRUE(kept) << why;
+  std::string error_text;
+  auto kept = file.read(now, error_text);
+  ASSERT_TRUE(kept) << error_text;
   EXPECT_NEAR(kept->elapsed, 2000, 0.01);
 }
 
-TEST_F(StateFileTest, RefusesWhatIsOfTheFuture) {
-  written({wait(1, 60e3)}, at(1e12));
-  refused(at(1e12 - 2000, "b2"), "in the future");
-  written({wait(1, 60e3)}, at(1e12));
-  refused(at(1e12 - 1), "in the future");
+TEST_F(StateFileTest, RejectsAFileDatedInTheFuture) {
+  write_file({wait(1, 60e3)}, at(1e12));
+  expect_rejected(at(1e12 - 2000, "b2"), "in the future");
+  write_file({wait(1, 60e3)}, at(1e12));
+  expect_rejected(at(1e12 - 1), "in the future");
 }
 
-TEST_F(StateFileTest, RefusesWhatIsOlderThanItsWords) {
-  written({wait(1, 60e3)}, at(1e12));
-  refused(at(1e12 + 3600e3, "b2"), "older");
+TEST_F(StateFileTest, RejectsAFileOlderThanItsRecords) {
+  write_file({wait(1, 60e3)}, at(1e12));
+  expect_rejected(at(1e12 + 3600e3, "b2"), "older");
 }
 
-TEST_F(StateFileTest, RefusesWhatIsOfOthers) {
-  written({wait(1, 60e3)}, at(1e12));
-  refused(at(1e12), "another fleet", "g");
-  written({wait(1, 60e3)}, at(1e12));
-  refused(at(1e12), "another member", "f", MemberId{8});
-  written({wait(1, 60e3)}, at(1e12));
+TEST_F(StateFileTest, RejectsAnotherFleetMemberOrFormat) {
+  write_file({wait(1, 60e3)}, at(1e12));
+  expect_rejected(at(1e12), "another fleet", "g");
+  write_file({wait(1, 60e3)}, at(1e12));
+  expect_rejected(at(1e12), "another member", "f", MemberId{8});
+  write_file({wait(1, 60e3)}, at(1e12));
   auto all = bytes();
   all[all.find('\n') - 1] = '9';
-  put(all);
-  refused(at(1e12), "another form");
+  write_bytes(all);
+  expect_rejected(at(1e12), "another format version");
 }
 
-TEST_F(StateFileTest, RefusesEveryCutAndEveryFlippedByte) {
-  written({wait(1, 60e3)}, at(1e12));
+TEST_F(StateFileTest, RejectsEveryTruncationAndFlippedByte) {
+  write_file({wait(1, 60e3)}, at(1e12));
   const auto whole = bytes();
   for (std::size_t size = 0; size < whole.size(); ++size) {
-    put(whole.substr(0, size));
-    refused(at(1e12), "state file");
+    write_bytes(whole.substr(0, size));
+    expect_rejected(at(1e12), "state file");
     auto flipped = whole;
     flipped[size] = static_cast<char>(flipped[size] ^ 0x20);
-    put(flipped);
-    refused(at(1e12), "state file");
+    write_bytes(flipped);
+    expect_rejected(at(1e12), "state file");
   }
-  put(whole + "x");
-  refused(at(1e12), "damaged");
+  write_bytes(whole + "x");
+  expect_rejected(at(1e12), "damaged");
 }
 
-TEST_F(StateFileTest, WhatIsSetAsideIsBounded) {
+TEST_F(StateFileTest, BoundsTheFilesSetAside) {
   for (int i = 0; i < 5; ++i) {
-    put(std::string(2 * max_state_file_bytes, 'x'));
-    refused(at(1e12), "too large");
+    write_bytes(std::string(2 * max_state_file_bytes, 'x'));
+    expect_rejected(at(1e12), "too large");
   }
   std::size_t bytes = 0, files = 0;
   for (const auto& file : std::filesystem::directory_iterator(folder)) bytes += file.file_size(), ++files;
@@ -137,28 +137,28 @@
   EXPECT_LE(bytes, max_state_disk_bytes);
 }
 
-TEST_F(StateFileTest, KeepsTheMostNeededWithinItsBound) {
-  std::vector<RegisterRecord> words;
-  for (std::uint64_t i = 0; i < 20000; ++i) words.push_back(wait(i, 60e3));
-  written(words, at(1e12));
+TEST_F(StateFileTest, KeepsTheMostImportantRecordsWithinItsLimit) {
+  std::vector<RegisterRecord> records;
+  for (std::uint64_t i = 0; i < 20000; ++i) records.push_back(wait(i, 60e3));
+  write_file(records, at(1e12));
   EXPECT_LE(std::filesystem::file_size(path), max_state_file_bytes);
   StateFile file(path, "f", MemberId{7});
-  std::string why;
-  auto kept = file.read(at(1e12), why);
-  ASSERT_TRUE(kept) << why;
+  std::string error_text;
+  auto kept = file.read(at(1e12), error_text);
+  ASSERT_TRUE(kept) << error_text;
   EXPECT_GT(kept->records.size(), 500u);
-  EXPECT_EQ(kept->records[10].name, words[10].name);
+  EXPECT_EQ(kept->records[10].name, records[10].name);
 }
 
-TEST_F(StateFileTest, WhatCannotBeWrittenLeavesWhatStands) {
-  written({wait(1, 60e3)}, at(1e12));
+TEST_F(StateFileTest, KeepsTheOldFileWhenWritingFails) {
+  write_file({wait(1, 60e3)}, at(1e12));
   std::filesystem::create_directory(path + ".new");
   StateFile file(path, "f", MemberId{7});
-  std::string why;
-  EXPECT_FALSE(file.write({wait(2, 60e3)}, at(1e12), why));
-  EXPECT_NE(why.find("cannot be kept"), std::string::npos);
-  auto kept = file.read(at(1e12), why);
-  ASSERT_TRUE(kept) << why;
+  std::string error_text;
+  EXPECT_FALSE(file.write({wait(2, 60e3)}, at(1e12), error_text));
+  EXPECT_NE(error_text.find("the destination state cannot be stored"), std::string::npos);
+  auto kept = file.read(at(1e12), error_text);
+  ASSERT_TRUE(kept) << error_text;
   EXPECT_EQ(kept->records[0].name, wait(1, 0).name);
 }
 
