--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -151,7 +151,7 @@
   return {bytes.data(), bytes.size()};
 }
 
-// bytes must hold exactly one value.
+// The input must hold exactly one value.
 template <typename T>
 T unpacked(std::string_view bytes) {
   T item{};
--- a/src/peer/component.h
+++ b/src/peer/component.h
@@ -33,23 +33,24 @@
   std::function<void()> begin_turn;            // opens a turn, so that the decision module runs soon
   std::function<Millis()> turn_start;          // start time of the open turn, or of the last one
   std::function<void(DocId)> resume_document;  // delivers a stored document, or reports its end
-  std::function<void(DocId)>
-      discard_document;  // removes a document from the store without sending or reporting anything more
-  std::function<void(DocId, bool taken)>
-      answer_client;  // answers +OK or -BUSY for a document whose +OK was held back
-  std::function<void(const std::string& endpoint, bool out)>
-      set_endpoint_offline;  // on an order given at another relay
+  // Removes a document from the store without sending or reporting anything more.
+  std::function<void(DocId)> discard_document;
+  // Answers +OK or -BUSY for a document whose +OK was held back.
+  std::function<void(DocId, bool accepted)> answer_client;
+  // On an order given at another relay.
+  std::function<void(const std::string& endpoint, bool offline)> set_endpoint_offline;
 };
 
 // Calls between components; unset if the component that provides one is not enabled.
 struct ComponentHooks {
-  std::function<bool()>
-      is_state_caught_up;  // whether the destination state of other relays has been received
-  std::function<void(const std::vector<EndpointId>&)>
-      set_catch_up_order;  // endpoints whose state to catch up with first
-  std::function<std::size_t(std::uint64_t id)>
-      preload_key;  // loads a key's body into memory; returns its bytes, 0 if there is none
-  std::function<void(std::uint64_t id, Millis took)> on_key_delivered;  // a key was delivered to a subscriber
+  // Whether the destination state of other relays has been received.
+  std::function<bool()> is_state_caught_up;
+  // Endpoints whose state to catch up with first.
+  std::function<void(const std::vector<EndpointId>&)> set_catch_up_order;
+  // Loads a key's body into memory; returns its bytes, 0 if there is none.
+  std::function<std::size_t(std::uint64_t id)> preload_key;
+  std::function<void(std::uint64_t id, Millis duration)>
+      on_key_delivered;  // a key was delivered to a subscriber
 };
 
 // What a component is constructed with.
@@ -69,8 +70,8 @@
  public:
   virtual ~FleetComponent() = default;
   virtual void start() {}  // the endpoint list is loaded, recovered documents are not yet processed
-  virtual void on_message(fleet::MemberId, std::string_view) {
-  }  // may throw BadMessage: the link is then closed and the peer logged
+  // May throw BadMessage: the link is then closed and the peer logged.
+  virtual void on_message(fleet::MemberId, std::string_view) {}
   virtual void on_link_change(fleet::MemberId, fleet::Incarnation, bool) {}
   virtual void on_member_change(fleet::MemberId, fleet::Incarnation, fleet::MemberState) {}
   virtual void on_declared_dead() {}  // other members declared this process dead, as after a stall
@@ -90,9 +91,8 @@
   virtual bool may_acknowledge(DocId) { return true; }
   virtual bool owns(DocId) { return true; }
   virtual bool may_send(DocId, int) { return true; }
-  virtual bool may_report_end(DocId) {
-    return true;
-  }  // whether its stored end may be reported; if not, RelayContext::resume_document follows
+  // Whether its stored end may be reported; if not, RelayContext::resume_document follows.
+  virtual bool may_report_end(DocId) { return true; }
   virtual void leave() {}                             // a planned shutdown has begun
   virtual std::string summary() const { return {}; }  // one line for the log at shutdown
 };
--- a/src/peer/fleet.h
+++ b/src/peer/fleet.h
@@ -40,8 +40,8 @@
 };
 
 // Factories of the components; nullptr if the fleet file does not enable the component.
-std::unique_ptr<FleetComponent> make_shared_state(
-    const ComponentContext& context);  // replicated registers and the state file
+// replicated registers and the state file
+std::unique_ptr<FleetComponent> make_shared_state(const ComponentContext& context);
 std::unique_ptr<FleetComponent> make_custody(const ComponentContext& context);  // replication of documents
 std::unique_ptr<FleetComponent> make_warmup(const ComponentContext& context);
 std::unique_ptr<FleetComponent> make_streams(const ComponentContext& context);
--- a/src/peer/fleet_config.cpp
+++ b/src/peer/fleet_config.cpp
@@ -21,13 +21,12 @@
 
 // Limits of the file.
 constexpr std::size_t max_file_bytes = 1 << 20, max_members = 1000, max_name_bytes = 64;
-constexpr std::size_t reserved_state_bytes = 256 << 10,
-                      min_store_bytes = 128 << 10;  // shares of the relay's disk limit
-constexpr std::size_t max_unidentified_connections = 16,
-                      min_endpoint_connections =
-                          4;  // unidentified peers, as in link.cpp; connections left for endpoints
+// Shares of the relay's disk limit.
+constexpr std::size_t reserved_state_bytes = 256 << 10, min_store_bytes = 128 << 10;
+// Connections of unidentified peers, as in link.cpp, and those left for endpoints.
+constexpr std::size_t max_unidentified_connections = 16, min_endpoint_connections = 4;
 constexpr double day = 86'400'000, client_timeout = 400;  // ms; the client's own timeout for +OK
-// in replication timeouts: one lost renewal must not end a lease
+// In replication timeouts: one lost renewal must not end a lease.
 constexpr double min_renewals_per_lease = 3;
 
 const char* type_name(toml::node_type kind) {
--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -41,10 +41,10 @@
 constexpr std::size_t header_bytes = 8, max_control_frame_bytes = 1024;
 constexpr std::size_t max_batch_bytes = 256 * 1024;  // written at the end of a loop iteration
 
-// per peer, and as many again at the end of the loop iteration; the rest waits
+// Per peer, and as many again at the end of the loop iteration; the rest waits.
 constexpr int max_frames_per_turn = 256;
 constexpr int max_frames_per_second = 200'000, max_control_frames_per_second = 50;  // rate limits per peer
-// connections without a handshake, in addition to one per member
+// Connections without a handshake, in addition to one per member.
 constexpr std::size_t max_unidentified_connections = 16;
 
 constexpr Millis check_interval = 100;      // interval of the timeout checks
@@ -359,11 +359,11 @@
                       .what());
       return false;
     }
-    auto more = header_bytes + 1 + payload.size();
-    if (peer.stream->unsent_bytes() + peer.batch.size() + more > max_queue_bytes_) write(peer);
+    auto frame_bytes = header_bytes + 1 + payload.size();
+    if (peer.stream->unsent_bytes() + peer.batch.size() + frame_bytes > max_queue_bytes_) write(peer);
     // Bounds the memory used for a slow peer and avoids sending stale messages; the peer is brought up to
     // date after it reconnects.
-    if (peer.stream->unsent_bytes() + more > max_queue_bytes_) {
+    if (peer.stream->unsent_bytes() + frame_bytes > max_queue_bytes_) {
       drop(peer, "its send queue of " + std::to_string(max_queue_bytes_ / 1024) + " KB is full");
       return false;
     }
@@ -616,11 +616,11 @@
     if (now - peer.last_ping >= (peer.sent_since_ping ? min_ping_interval : idle_ping_interval_)) ping(peer);
   }
 
-  Millis crossing(MemberId peer) const {
+  Millis one_way_delay(MemberId peer) const {
     auto found = dialled_.find(peer);
     if (found == dialled_.end()) return -1;
-    auto min_rtt = found->second.min_rtt, before = found->second.previous_min_rtt;
-    if (min_rtt < 0 || (before >= 0 && before < min_rtt)) min_rtt = before;
+    auto min_rtt = found->second.min_rtt, previous = found->second.previous_min_rtt;
+    if (min_rtt < 0 || (previous >= 0 && previous < min_rtt)) min_rtt = previous;
     return min_rtt < 0 ? -1 : min_rtt / 2;
   }
 
@@ -630,7 +630,7 @@
         return reject(*other, reason, "run compatible versions on all members");
   }
 
-  std::size_t connections() const {
+  std::size_t connection_count() const {
     auto dialled = std::count_if(dialled_.begin(), dialled_.end(),
                                  [](const auto& entry) { return entry.second.stream != nullptr; });
     return accepted_.size() + static_cast<std::size_t>(dialled);
@@ -670,10 +670,10 @@
   return found != impl_->dialled_.end() && found->second.established;
 }
 
-Millis Link::one_way_delay(MemberId peer) const { return impl_->crossing(peer); }
+Millis Link::one_way_delay(MemberId peer) const { return impl_->one_way_delay(peer); }
 
 void Link::reject_peer(MemberId peer, const std::string& reason) { impl_->reject(peer, reason); }
 
-std::size_t Link::connection_count() const { return impl_->connections(); }
+std::size_t Link::connection_count() const { return impl_->connection_count(); }
 
 }  // namespace rockcrank::peer
--- a/src/peer/persistent_log.cpp
+++ b/src/peer/persistent_log.cpp
@@ -10,7 +10,7 @@
 using namespace latest;
 
 namespace {
-// per step of a compaction, so that a turn never waits for a whole one
+// Per step of a compaction, so that a turn never waits for a whole one.
 constexpr std::size_t max_compaction_bytes_per_turn = 1 << 16;
 constexpr std::size_t max_log_lines = 16;  // per turn
 }  // namespace
--- a/src/peer/route_gossip_socket.cpp
+++ b/src/peer/route_gossip_socket.cpp
@@ -59,32 +59,32 @@
     if (count <= 0) break;
     try {
       gossip_->on_datagram(unpacked<fleet::RouteDatagram>({bytes, static_cast<std::size_t>(count)}));
-    } catch (const fleet::FleetError& error) { log_line("notes: %s", error.what()); }
+    } catch (const fleet::FleetError& error) { log_line("route gossip: %s", error.what()); }
   }
   begin_turn_();
 }
 
 void RouteGossipSocket::send_updates() {
   gossip_->begin_turn(loop_.now());
-  auto decided = gossip_->decide();
-  for (const auto& datagram : decided.datagrams) {
+  auto actions = gossip_->decide();
+  for (const auto& datagram : actions.datagrams) {
     auto bytes = packed(datagram);
     if (bytes.size() <= max_datagram_bytes)
       ::sendto(fd_, bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL,
                reinterpret_cast<const sockaddr*>(&broadcast_address_), sizeof broadcast_address_);
   }
-  if (decided.wake_in >= 0) send_timer_.set(loop_.now() + decided.wake_in);
+  if (actions.wake_in >= 0) send_timer_.set(loop_.now() + actions.wake_in);
 }
 
 void RouteGossipSocket::before_turn() {
-  for (const auto& known : gossip_->take_route_statuses()) decision_.apply_route_status(known);
+  for (const auto& status : gossip_->take_route_statuses()) decision_.apply_route_status(status);
 }
 
 void RouteGossipSocket::after_turn() {
-  auto own = decision_.route_statuses(false);
-  if (own.empty()) return;  // pending updates have their own timer
+  auto statuses = decision_.route_statuses(false);
+  if (statuses.empty()) return;  // pending updates have their own timer
   gossip_->begin_turn(loop_.now());
-  for (const auto& known : own) gossip_->publish(known);
+  for (const auto& status : statuses) gossip_->publish(status);
   send_updates();
 }
 
--- a/src/peer/segments.h
+++ b/src/peer/segments.h
@@ -27,8 +27,8 @@
   virtual std::vector<std::string> list() = 0;
   virtual std::optional<std::string> read(const std::string& name, std::size_t offset, std::size_t bytes) = 0;
   virtual std::optional<std::size_t> size(const std::string& name) = 0;  // nothing if there is no such file
-  virtual std::size_t append(const std::string& name,
-                             std::string_view bytes) = 0;  // returns the bytes written
+  // Returns the bytes written.
+  virtual std::size_t append(const std::string& name, std::string_view bytes) = 0;
   virtual bool truncate(const std::string& name, std::size_t size) = 0;
   virtual bool sync(const std::string& name) = 0;
   virtual bool rename(const std::string& from, const std::string& to) = 0;
@@ -63,8 +63,8 @@
   latest::LogLocation append(const latest::DeliveryState& state);
   // Throws BadStateFile if the record cannot be read.
   latest::Record read(const latest::LogLocation& location);
-  void save_conflicting_record(
-      const latest::Record& record);  // the one of two conflicting records that is not used
+  // The one of two conflicting records that is not used.
+  void save_conflicting_record(const latest::Record& record);
 
   // One step of a compaction, of a bounded number of bytes. done: `moved` and `dropped` are complete and the
   // old segment is deleted; failed: `moved` lists the records stored twice.
@@ -107,7 +107,7 @@
   void replenish_reserve();
   ActiveSegment& active_segment(latest::StreamId stream, bool compacted);
   void seal(latest::StreamId stream, bool compacted);
-  latest::LogLocation append_frame(latest::StreamId stream, bool compacted, std::string_view payload,
+  latest::LogLocation append_frame(latest::StreamId stream, bool compacted, std::string_view frame,
                                    std::size_t reserved);
   void append_bytes(const std::string& name, std::string_view bytes, std::size_t size);
   void delete_segment(latest::SegmentId id);
@@ -127,8 +127,8 @@
   std::size_t manifest_size_ = 0, disk_bytes_ = 0;
   std::uint64_t appended_bytes_ = 0;
   bool manifest_broken_ = false;
-  std::map<latest::SegmentId, std::pair<std::string, bool>>
-      damaged_segments_;  // during recovery: contents, and whether they are readable
+  // During recovery: contents, and whether they are readable.
+  std::map<latest::SegmentId, std::pair<std::string, bool>> damaged_segments_;
   std::optional<CompactionState> compaction_;
   // LRU cache of records by location.
   std::list<std::pair<latest::LogLocation, std::string>> cache_;
--- a/src/peer/state_file.cpp
+++ b/src/peer/state_file.cpp
@@ -77,8 +77,8 @@
 
 std::optional<StateFile::LoadedState> StateFile::read(const ClockReading& now, std::string& error_text) {
   error_text.clear();
-  std::error_code none;
-  if (!std::filesystem::exists(std::filesystem::symlink_status(path_, none))) return std::nullopt;
+  std::error_code ignored_error;
+  if (!std::filesystem::exists(std::filesystem::symlink_status(path_, ignored_error))) return std::nullopt;
   try {
     std::ifstream file(path_, std::ios::binary);
     std::string bytes(max_state_file_bytes + 1, '\0');
@@ -103,58 +103,60 @@
   auto error_at = [&](const std::string& what, std::size_t at) -> BadStateFile {
     return {what, path_ + ", byte " + std::to_string(at), remedy()};
   };
-  auto head = magic.size() + format_version.size();
+  auto header_bytes = magic.size() + format_version.size();
   if (bytes.size() > max_state_file_bytes)
     throw error_at("the state file is too large", max_state_file_bytes);
   if (bytes.compare(0, magic.size(), magic) != 0)
-    throw error_at(bytes.size() < head ? "the state file is cut off" : "this is not a state file", 0);
+    throw error_at(bytes.size() < header_bytes ? "the state file is cut off" : "this is not a state file", 0);
   if (bytes.compare(magic.size(), format_version.size(), format_version) != 0)
-    throw error_at(
-        bytes.size() < head ? "the state file is cut off" : "the state file has another format version",
-        magic.size());
-  if (bytes.size() < head + checksum_bytes) throw error_at("the state file is cut off", bytes.size());
-  std::uint64_t sum = 0;
-  std::memcpy(&sum, bytes.data() + head, sizeof sum);
-  auto rest = std::string_view(bytes).substr(head + checksum_bytes);
-  if (checksum(rest) != sum) throw error_at("the state file is damaged or cut off", head);
+    throw error_at(bytes.size() < header_bytes ? "the state file is cut off"
+                                               : "the state file has another format version",
+                   magic.size());
+  if (bytes.size() < header_bytes + checksum_bytes) throw error_at("the state file is cut off", bytes.size());
+  std::uint64_t stored_checksum = 0;
+  std::memcpy(&stored_checksum, bytes.data() + header_bytes, sizeof stored_checksum);
+  auto rest = std::string_view(bytes).substr(header_bytes + checksum_bytes);
+  if (checksum(rest) != stored_checksum) throw error_at("the state file is damaged or cut off", header_bytes);
   StateImage image;
   try {
     image = unpacked<StateImage>(rest);
   } catch (const fleet::FleetError&) {
-    throw error_at("the state file does not match its format", head + checksum_bytes);
+    throw error_at("the state file does not match its format", header_bytes + checksum_bytes);
   }
   if (image.fleet != fleet_)
     throw error_at("the state file belongs to another fleet, " + image.fleet.substr(0, 64),
-                   head + checksum_bytes);
+                   header_bytes + checksum_bytes);
   if (image.member != member_)
-    throw error_at("the state file belongs to another member", head + checksum_bytes);
+    throw error_at("the state file belongs to another member", header_bytes + checksum_bytes);
 
-  const ClockReading& then = image.written;
-  bool same_boot = !now.boot_id.empty() && now.boot_id == then.boot_id;
-  Millis elapsed = same_boot ? now.since_boot - then.since_boot : now.wall_time - then.wall_time;
+  const ClockReading& written = image.written;
+  bool same_boot = !now.boot_id.empty() && now.boot_id == written.boot_id;
+  Millis elapsed = same_boot ? now.since_boot - written.since_boot : now.wall_time - written.wall_time;
   // If the clock was set back, or the file comes from a machine whose clock is ahead, the remaining time of
   // its waits is unknown.
   if (!(elapsed >= (same_boot ? 0 : -max_clock_step_back)))
-    throw error_at("the state file is dated in the future", head + checksum_bytes);
+    throw error_at("the state file is dated in the future", header_bytes + checksum_bytes);
   elapsed = std::max(elapsed, 0.0);
-  bool any = std::any_of(image.records.begin(), image.records.end(),
-                         [&](const auto& word) { return word.age + elapsed < fleet::retention_of(word); });
+  bool any = std::any_of(image.records.begin(), image.records.end(), [&](const auto& record) {
+    return record.age + elapsed < fleet::retention_of(record);
+  });
   if (!any && !image.records.empty())
-    throw error_at("the state file is older than the lifetime of all its records", head + checksum_bytes);
+    throw error_at("the state file is older than the lifetime of all its records",
+                   header_bytes + checksum_bytes);
   return {std::move(image.records), elapsed};
 }
 
 // Bounded in number and size: the oldest file is deleted.
 void StateFile::set_aside() const {
   auto name = [&](int number) { return path_ + "." + std::to_string(number) + ".aside"; };
-  std::error_code none;
-  if (std::filesystem::is_regular_file(path_, none) &&
-      std::filesystem::file_size(path_, none) > max_state_file_bytes)
-    std::filesystem::resize_file(path_, max_state_file_bytes, none);
-  std::filesystem::remove_all(name(max_quarantined_state_files), none);
+  std::error_code ignored_error;
+  if (std::filesystem::is_regular_file(path_, ignored_error) &&
+      std::filesystem::file_size(path_, ignored_error) > max_state_file_bytes)
+    std::filesystem::resize_file(path_, max_state_file_bytes, ignored_error);
+  std::filesystem::remove_all(name(max_quarantined_state_files), ignored_error);
   for (int number = max_quarantined_state_files; number > 1; --number)
-    std::filesystem::rename(name(number - 1), name(number), none);
-  std::filesystem::rename(path_, name(1), none);
+    std::filesystem::rename(name(number - 1), name(number), ignored_error);
+  std::filesystem::rename(path_, name(1), ignored_error);
 }
 
 bool StateFile::write(const std::vector<fleet::RegisterRecord>& records, const ClockReading& now,
@@ -162,16 +164,16 @@
   error_text.clear();
   StateImage image{fleet_, member_, now, {}};
   std::size_t bytes = packed(image).size() + magic.size() + format_version.size() + checksum_bytes + 8;
-  for (const auto& word : records) {
-    auto size = packed(word).size();
+  for (const auto& record : records) {
+    auto size = packed(record).size();
     if (bytes + size > max_state_file_bytes) break;
-    bytes += size, image.records.push_back(word);
+    bytes += size, image.records.push_back(record);
   }
   auto rest = packed(image);
-  auto sum = checksum(rest);
+  auto stored_checksum = checksum(rest);
   std::string whole(magic);
   whole += format_version;
-  whole.append(reinterpret_cast<const char*>(&sum), sizeof sum);
+  whole.append(reinterpret_cast<const char*>(&stored_checksum), sizeof stored_checksum);
   whole += rest;
   auto temporary_path = path_ + ".new";
   if (write_whole(temporary_path, whole) && std::rename(temporary_path.c_str(), path_.c_str()) == 0)
--- a/src/peer/streams.cpp
+++ b/src/peer/streams.cpp
@@ -19,7 +19,7 @@
 using namespace latest;
 using fleet::MemberId;
 
-// interval of reading the decision module's state of subscribers
+// Interval of reading the decision module's state of subscribers.
 constexpr Millis impairment_check_interval = 1000;
 
 LatestSettings settings_of(const FleetConfig& config) {
--- a/tests/fleet/link_test.cpp
+++ b/tests/fleet/link_test.cpp
@@ -41,13 +41,15 @@
 }
 struct Handshake {
   std::string magic = "rockcrank fleet";
-  std::uint32_t version = 1, least = 1;
+  std::uint32_t version = 1, min_version = 1;
   std::string fleet = "test";
   MemberId member = id("b");
   Incarnation incarnation{5, 5};
-  std::uint64_t frame_most = 16 * 1024;
-  std::map<std::string, std::string> more;
-  auto fields() { return std::tie(magic, version, least, fleet, member, incarnation, frame_most, more); }
+  std::uint64_t max_frame_bytes = 16 * 1024;
+  std::map<std::string, std::string> extensions;
+  auto fields() {
+    return std::tie(magic, version, min_version, fleet, member, incarnation, max_frame_bytes, extensions);
+  }
 };
 std::string handshake(const Handshake& values = {}) {
   return frame(0, std::string("\1").append(packed(values)));
@@ -57,7 +59,7 @@
   FleetConfig config;
   std::unique_ptr<Link> link;
   std::vector<std::pair<MemberId, std::string>> received;
-  std::vector<Millis> heard_at;
+  std::vector<Millis> received_at;
   std::vector<std::string> link_changes;  // as "+b5": up or down, peer, incarnation number
   std::set<Incarnation> duplicates;
 };
@@ -67,7 +69,7 @@
   ~LinkTest() override {
     for (int fd : opened_) ::close(fd);
   }
-  int raw(int port) {  // a plain socket; with port 0 a listening one
+  int open_socket(int port) {  // a plain socket; with port 0 a listening one
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in at{};
     at.sin_family = AF_INET, at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -105,7 +107,7 @@
   void begin(Node& made, Incarnation incarnation) {
     made.link = std::make_unique<Link>(loop_, made.config, incarnation, 1);
     made.link->on_message = [this, &made](MemberId from, Channel, std::string_view payload) {
-      made.received.emplace_back(from, payload), made.heard_at.push_back(loop_.now());
+      made.received.emplace_back(from, payload), made.received_at.push_back(loop_.now());
     };
     made.link->on_link_change = [this, &made](MemberId peer, Incarnation peers, bool up) {
       for (const auto& [name, port] : ports_)
@@ -115,7 +117,7 @@
     };
     made.link->on_duplicate_self = [&made](Incarnation other) { made.duplicates.insert(other); };
   }
-  bool until(const std::function<bool()>& holds, Millis within = 8000) {
+  bool run_until(const std::function<bool()>& holds, Millis within = 8000) {
     auto end = loop_.now() + within;
     bool held = false;
     Timer poll(loop_, [&] {
@@ -137,7 +139,7 @@
     EXPECT_EQ(send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
   }
   bool received(Node& at, const std::string& what) {
-    return until([&] {
+    return run_until([&] {
       return std::any_of(at.received.begin(), at.received.end(),
                          [&](const auto& one) { return one.second == what; });
     });
@@ -153,19 +155,19 @@
 TEST_F(LinkTest, CarriesMessagesInOrderAndMeasuresTheDelay) {
   reserve_ports({"a", "b", "c"});
   auto &a = node("a"), &b = node("b", {6, 6}), &c = node("c");
-  ASSERT_TRUE(until([&] {
+  ASSERT_TRUE(run_until([&] {
     return a.link_changes.size() == 2 && b.link_changes.size() == 2 && c.link_changes.size() == 2;
   }));
   EXPECT_TRUE(std::count(a.link_changes.begin(), a.link_changes.end(), "+b6"));
   for (int i = 0; i < 3000; ++i) ASSERT_TRUE(a.link->send(id("b"), Channel::warm, std::to_string(i)));
-  ASSERT_TRUE(until([&] { return b.received.size() == 3000; }));
+  ASSERT_TRUE(run_until([&] { return b.received.size() == 3000; }));
   for (int i = 0; i < 3000; ++i) EXPECT_EQ(b.received[i], std::pair(id("a"), std::to_string(i)));
   // The number of messages per loop iteration is bounded.
   std::map<Millis, int> rounds;
-  for (auto at : b.heard_at) ++rounds[at];
+  for (auto at : b.received_at) ++rounds[at];
   for (auto [at, count] : rounds) EXPECT_LE(count, 512);
   EXPECT_TRUE(c.received.empty());
-  ASSERT_TRUE(until([&] { return a.link->one_way_delay(id("b")) >= 0; }));
+  ASSERT_TRUE(run_until([&] { return a.link->one_way_delay(id("b")) >= 0; }));
   EXPECT_LT(a.link->one_way_delay(id("b")), 1000);
   EXPECT_LT(a.link->one_way_delay(id("x")), 0);
   EXPECT_FALSE(a.link->send(id("b"), Channel::warm, std::string(16 * 1024, 'x')));  // exceeds the frame limit
@@ -175,12 +177,12 @@
 TEST_F(LinkTest, RedialsAPeerThatRestarted) {
   reserve_ports({"a", "b"});
   auto &a = node("a"), &b = node("b", {6, 6});
-  ASSERT_TRUE(until([&] { return a.link->is_up(id("b")) && b.link->is_up(id("a")); }));
+  ASSERT_TRUE(run_until([&] { return a.link->is_up(id("b")) && b.link->is_up(id("a")); }));
   b.link.reset();
-  ASSERT_TRUE(until([&] { return !a.link->is_up(id("b")); }));
+  ASSERT_TRUE(run_until([&] { return !a.link->is_up(id("b")); }));
   EXPECT_FALSE(a.link->send(id("b"), Channel::warm, "lost"));
   begin(b, {7, 1});
-  ASSERT_TRUE(until([&] { return a.link_changes == std::vector<std::string>{"+b6", "-b6", "+b7"}; }));
+  ASSERT_TRUE(run_until([&] { return a.link_changes == std::vector<std::string>{"+b6", "-b6", "+b7"}; }));
   EXPECT_TRUE(a.duplicates.empty() && b.duplicates.empty());
 }
 
@@ -189,7 +191,7 @@
   auto &a = node("a", {5, 5}, false), &b = node("b");
   a.config.addresses[id("b")].port = reserve_port();  // as behind a broken proxy
   begin(a, {5, 5});
-  ASSERT_TRUE(until([&] { return b.link->is_up(id("a")); }));
+  ASSERT_TRUE(run_until([&] { return b.link->is_up(id("a")); }));
   ASSERT_TRUE(b.link->send(id("a"), Channel::warm, "one way"));
   EXPECT_TRUE(received(a, "one way"));
   EXPECT_FALSE(a.link->is_up(id("b")) || a.link->send(id("b"), Channel::warm, "other way"));
@@ -198,12 +200,12 @@
 TEST_F(LinkTest, RejectsAndLogsInvalidPeersWithoutAffectingOthers) {
   reserve_ports({"a", "b", "c"});
   auto &a = node("a"), &c = node("c");
-  ASSERT_TRUE(until([&] { return c.link->is_up(id("a")); }));
+  ASSERT_TRUE(run_until([&] { return c.link->is_up(id("a")); }));
   auto corrupted = frame(1, "abcdef");
   corrupted.back() ^= 1;
-  Handshake other_fleet, stranger, future, wrong_protocol;
-  other_fleet.fleet = "foreign\n", stranger.member = id("z"), wrong_protocol.magic = "x";
-  future.version = future.least = 2;
+  Handshake other_fleet, unknown_member, future, wrong_protocol;
+  other_fleet.fleet = "foreign\n", unknown_member.member = id("z"), wrong_protocol.magic = "x";
+  future.version = future.min_version = 2;
   std::string flood;
   for (int i = 0; i < 200; ++i) flood += frame(0, std::string("\2") + packed(std::tuple<std::uint64_t>(i)));
   const std::pair<std::string, const char*> all[] = {
@@ -214,7 +216,7 @@
       {handshake(wrong_protocol), "no handshake"},
       {frame(1, "abc"), "no handshake"},
       {handshake(other_fleet), "a handshake from the fleet 'foreign?'"},
-      {handshake(stranger), "not in the fleet file"},
+      {handshake(unknown_member), "not in the fleet file"},
       {handshake(future), "wire version 2, minimum 2"},
       {handshake() + corrupted, "wrong checksum"},
       {handshake() + frame(1, std::string(16 * 1024, 'x')), "invalid frame length of 16385 bytes"},
@@ -227,10 +229,10 @@
     SCOPED_TRACE(reason);
     a.received.clear();
     testing::internal::CaptureStderr();
-    int fd = raw(ports_["a"]);
+    int fd = open_socket(ports_["a"]);
     send_bytes(fd, bytes);
-    bool was_closed = until([&] { return closed(fd); });
-    until([] { return false; }, 251);  // the rate limit of log lines has passed
+    bool was_closed = run_until([&] { return closed(fd); });
+    run_until([] { return false; }, 251);  // the rate limit of log lines has passed
     auto logged = testing::internal::GetCapturedStderr();
     EXPECT_TRUE(was_closed);
     EXPECT_NE(logged.find(reason), std::string::npos) << logged;
@@ -245,9 +247,9 @@
   reserve_ports({"a", "b"});
   auto& a = node("a");
   Handshake newer;
-  newer.version = 2, newer.more["colour"] = "red";
-  until([] { return false; }, 1);  // one loop iteration, in which it begins to listen
-  int fd = raw(ports_["a"]);
+  newer.version = 2, newer.extensions["colour"] = "red";
+  run_until([] { return false; }, 1);  // one loop iteration, in which it begins to listen
+  int fd = open_socket(ports_["a"]);
   send_bytes(fd, handshake(newer) + frame(9, "later") + frame(0, "\x9zzz") + frame(2, "known"));
   EXPECT_TRUE(received(a, "known"));
   EXPECT_FALSE(closed(fd));
@@ -256,11 +258,11 @@
 TEST_F(LinkTest, BoundsTheConnectionsItAccepts) {
   reserve_ports({"a", "b", "c"});
   auto &a = node("a"), &c = node("c");
-  ASSERT_TRUE(until([&] { return c.link->is_up(id("a")); }));
+  ASSERT_TRUE(run_until([&] { return c.link->is_up(id("a")); }));
   std::vector<int> many;
   std::size_t most = 0;
-  for (int i = 0; i < 100; ++i) many.push_back(raw(ports_["a"]));
-  ASSERT_TRUE(until([&] {
+  for (int i = 0; i < 100; ++i) many.push_back(open_socket(ports_["a"]));
+  ASSERT_TRUE(run_until([&] {
     most = std::max(most, a.link->connection_count());
     return std::count_if(many.begin(), many.end(), closed) >= 80;
   }));
@@ -273,7 +275,7 @@
 struct SilentPeerTest : LinkTest {
   int welcome(int listener) {
     int fd = -1;
-    EXPECT_TRUE(until([&] { return (fd = accept4(listener, nullptr, nullptr, SOCK_NONBLOCK)) >= 0; }));
+    EXPECT_TRUE(run_until([&] { return (fd = accept4(listener, nullptr, nullptr, SOCK_NONBLOCK)) >= 0; }));
     opened_.push_back(fd);
     send_bytes(fd, handshake());
     return fd;
@@ -282,11 +284,11 @@
 
 TEST_F(SilentPeerTest, DropsASlowPeerAndServesTheOthers) {
   reserve_ports({"a", "c"});
-  int listener = raw(0);
+  int listener = open_socket(0);
   ports_["b"] = port_of(listener);
   auto &a = node("a"), &c = node("c");
   welcome(listener);
-  ASSERT_TRUE(until([&] { return a.link->is_up(id("b")) && a.link->is_up(id("c")); }));
+  ASSERT_TRUE(run_until([&] { return a.link->is_up(id("b")) && a.link->is_up(id("c")); }));
   int sent = 0;
   while (sent < 100000 && a.link->send(id("b"), Channel::latest, std::string(8000, 'x'))) ++sent;
   EXPECT_GT(sent, 30);
@@ -294,8 +296,9 @@
   EXPECT_FALSE(a.link->is_up(id("b")));
   ASSERT_TRUE(a.link->send(id("c"), Channel::warm, "on time"));
   EXPECT_TRUE(received(c, "on time"));
-  EXPECT_TRUE(until([&] { return std::count(a.link_changes.begin(), a.link_changes.end(), "-b5") == 1; }));
-  EXPECT_TRUE(until([&] {  // it is redialled
+  EXPECT_TRUE(
+      run_until([&] { return std::count(a.link_changes.begin(), a.link_changes.end(), "-b5") == 1; }));
+  EXPECT_TRUE(run_until([&] {  // it is redialled
     for (int fd; (fd = accept4(listener, nullptr, nullptr, SOCK_NONBLOCK)) >= 0; opened_.push_back(fd))
       send_bytes(fd, handshake());
     return a.link->is_up(id("b"));
@@ -304,13 +307,13 @@
 
 TEST_F(SilentPeerTest, DetectsASilentPeerWithinTwoSeconds) {
   reserve_ports({"a"});
-  int listener = raw(0);
+  int listener = open_socket(0);
   ports_["b"] = port_of(listener);
   auto& a = node("a");
   welcome(listener);
-  ASSERT_TRUE(until([&] { return a.link->is_up(id("b")); }));
+  ASSERT_TRUE(run_until([&] { return a.link->is_up(id("b")); }));
   auto since = loop_.now();
-  EXPECT_TRUE(until([&] { return !a.link->is_up(id("b")); }));
+  EXPECT_TRUE(run_until([&] { return !a.link->is_up(id("b")); }));
   EXPECT_LT(loop_.now() - since, 2200);
   EXPECT_GT(loop_.now() - since, 1400);
 }
@@ -318,10 +321,10 @@
 TEST_F(LinkTest, NotifiesAnOlderIncarnationOfANewerOne) {
   reserve_ports({"a", "b"});
   auto &b = node("b"), &older = node("a1", {5, 1});
-  ASSERT_TRUE(until([&] { return b.link->is_up(id("a")) && older.link->is_up(id("b")); }));
+  ASSERT_TRUE(run_until([&] { return b.link->is_up(id("a")) && older.link->is_up(id("b")); }));
   auto& image =
       node("a2", {5, 2});  // same number, as from a restored machine image; its address is already in use
-  ASSERT_TRUE(until([&] { return older.duplicates.count({5, 2}) == 1; }));
+  ASSERT_TRUE(run_until([&] { return older.duplicates.count({5, 2}) == 1; }));
   EXPECT_TRUE(image.duplicates.empty());
   ASSERT_TRUE(image.link->send(id("b"), Channel::warm, "of the newer incarnation"));
   EXPECT_TRUE(received(b, "of the newer incarnation"));
@@ -330,12 +333,12 @@
 TEST_F(LinkTest, DetectsADuplicateOfThisMember) {
   reserve_ports({"a", "b"});
   auto& a = node("a");
-  until([] { return false; }, 1);
+  run_until([] { return false; }, 1);
   Handshake same;
   same.member = id("a"), same.incarnation = {9, 9};
-  int fd = raw(ports_["a"]);
+  int fd = open_socket(ports_["a"]);
   send_bytes(fd, handshake(same));
-  EXPECT_TRUE(until([&] { return a.duplicates.count({9, 9}) == 1 && closed(fd); }));
+  EXPECT_TRUE(run_until([&] { return a.duplicates.count({9, 9}) == 1 && closed(fd); }));
 }
 
 }  // namespace
--- a/tests/fleet/state_file_test.cpp
+++ b/tests/fleet/state_file_test.cpp
@@ -31,12 +31,14 @@
   static RegisterRecord wait(std::uint64_t route, Millis span) {
     char text[24];
     std::snprintf(text, sizeof text, "d%016llx", static_cast<unsigned long long>(route));
-    RegisterRecord word;
-    word.kind = RegisterKind::retry_after, word.name = text, word.duration = span, word.age = 100;
-    word.version = {1000 + route, MemberId{7}};
-    return word;
+    RegisterRecord record;
+    record.kind = RegisterKind::retry_after, record.name = text, record.duration = span, record.age = 100;
+    record.version = {1000 + route, MemberId{7}};
+    return record;
+  }
+  static ClockReading at(Millis wall, const std::string& boot_id = "b1") {
+    return {boot_id, wall - 5000, wall};
   }
-  static ClockReading at(Millis wall, const std::string& boot = "b1") { return {boot, wall - 5000, wall}; }
   void write_file(const std::vector<RegisterRecord>& records, const ClockReading& when) {
     StateFile file(path, "f", MemberId{7});
     std::string error_text;
