--- a/src/bench/fleet_bench.cpp
+++ b/src/bench/fleet_bench.cpp
@@ -192,8 +192,8 @@
       if (rig.log()[at].matches("answer", {{"id", id}})) told = rig.log()[at].at;
     auto all_know = [&] {
       return std::all_of(names.begin(), names.end(), [&](const auto& name) {
-        return name == teller ||
-               rig.process_log(name).find("told wait of another relay", seen[name]) != std::string::npos;
+        return name == teller || rig.process_log(name).find("Retry-After wait reported by another relay",
+                                                            seen[name]) != std::string::npos;
       });
     };
     auto end = rig.now() + 3000;
--- a/src/peer/segments.cpp
+++ b/src/peer/segments.cpp
@@ -101,15 +101,16 @@
     int fd = ::open(path(name).c_str(), O_RDONLY | O_CLOEXEC);
     if (fd < 0) return std::nullopt;
     std::string found(bytes, '\0');
-    std::size_t got = 0;
-    while (got < bytes) {
-      auto count = ::pread(fd, found.data() + got, bytes - got, static_cast<off_t>(offset + got));
+    std::size_t bytes_read = 0;
+    while (bytes_read < bytes) {
+      auto count =
+          ::pread(fd, found.data() + bytes_read, bytes - bytes_read, static_cast<off_t>(offset + bytes_read));
       if (count < 0 && errno == EINTR) continue;
       if (count <= 0) break;
-      got += static_cast<std::size_t>(count);
+      bytes_read += static_cast<std::size_t>(count);
     }
     ::close(fd);
-    found.resize(got);
+    found.resize(bytes_read);
     return found;
   }
   std::optional<std::size_t> size(const std::string& name) override {
@@ -215,8 +216,8 @@
   limits_.segment_bytes = std::clamp(limits_.segment_bytes, std::size_t{4096},
                                      std::max(std::size_t{4096}, limits_.disk_bytes / 8));
   read_manifest();
-  auto listed = segments_;
-  for (auto& [id, segment] : listed) recover(id, segment);
+  auto listed_segments = segments_;
+  for (auto& [id, segment] : listed_segments) recover(id, segment);
   for (const auto& [key, active_segment] : active_segments_) {
     auto found = segments_.find(active_segment.id);
     if (found != segments_.end()) active_segments_[key].size = found->second.size;
--- a/src/peer/warmup.cpp
+++ b/src/peer/warmup.cpp
@@ -107,21 +107,21 @@
     for (const auto& send : actions.sends) link_.send(send.to, Channel::warm, packed(send.message));
     if (!actions.sync_first.empty() && hooks_->set_catch_up_order)
       hooks_->set_catch_up_order(actions.sync_first);
-    for (const auto& ahead : actions.preconnects) open(ahead);
+    for (const auto& preconnect : actions.preconnects) open(preconnect);
     for (auto id : actions.bodies_to_load)
       open_turn().on_body_loaded(hooks_->preload_key ? hooks_->preload_key(id) : 0);
     if (!turn_open_ && actions.wake_in >= 0) turn_timer_.set(relay_.loop.now() + actions.wake_in);
   }
 
-  void open(const Warmer::Preconnect& ahead) {
-    int up = relay_.endpoints.connections(ahead.endpoint);
+  void open(const Warmer::Preconnect& preconnect) {
+    int open_connections = relay_.endpoints.connections(preconnect.endpoint);
     // A neighbour may name an endpoint that is not, or no longer, in this relay's list.
-    if (!relay_.listed_endpoints.count(ahead.endpoint) || up >= ahead.max_connections)
-      return open_turn().on_preconnect_unneeded(ahead.endpoint);
+    if (!relay_.listed_endpoints.count(preconnect.endpoint) || open_connections >= preconnect.max_connections)
+      return open_turn().on_preconnect_unneeded(preconnect.endpoint);
     relay_.begin_turn();  // so that the decision module uses the current time
-    bool permitted = relay_.decision.may_preconnect(ahead.endpoint, up);
-    if (!permitted || !relay_.endpoints.preconnect(ahead.endpoint))
-      open_turn().on_preconnect_refused(ahead.endpoint);
+    bool permitted = relay_.decision.may_preconnect(preconnect.endpoint, open_connections);
+    if (!permitted || !relay_.endpoints.preconnect(preconnect.endpoint))
+      open_turn().on_preconnect_refused(preconnect.endpoint);
   }
 
   RelayContext& relay_;
--- a/tests/fleet/link_test.cpp
+++ b/tests/fleet/link_test.cpp
@@ -101,33 +101,33 @@
       made.config.roster.push_back({id(member), member, "h0"});
       made.config.addresses.emplace(id(member), Address{"127.0.0.1", port});
     }
-    if (start) begin(made, incarnation);
+    if (start) start_link(made, incarnation);
     return made;
   }
-  void begin(Node& made, Incarnation incarnation) {
+  void start_link(Node& made, Incarnation incarnation) {
     made.link = std::make_unique<Link>(loop_, made.config, incarnation, 1);
     made.link->on_message = [this, &made](MemberId from, Channel, std::string_view payload) {
       made.received.emplace_back(from, payload), made.received_at.push_back(loop_.now());
     };
-    made.link->on_link_change = [this, &made](MemberId peer, Incarnation peers, bool up) {
+    made.link->on_link_change = [this, &made](MemberId peer, Incarnation peer_incarnation, bool up) {
       for (const auto& [name, port] : ports_)
         if (id(name) == peer)
           made.link_changes.push_back(
-              std::string(1, up ? '+' : '-').append(name).append(std::to_string(peers.number)));
+              std::string(1, up ? '+' : '-').append(name).append(std::to_string(peer_incarnation.number)));
     };
     made.link->on_duplicate_self = [&made](Incarnation other) { made.duplicates.insert(other); };
   }
-  bool run_until(const std::function<bool()>& holds, Millis within = 8000) {
-    auto end = loop_.now() + within;
-    bool held = false;
+  bool run_until(const std::function<bool()>& condition, Millis timeout = 8000) {
+    auto end = loop_.now() + timeout;
+    bool satisfied = false;
     Timer poll(loop_, [&] {
-      held = holds();
-      if (held || loop_.now() > end) return loop_.stop();
+      satisfied = condition();
+      if (satisfied || loop_.now() > end) return loop_.stop();
       poll.set(loop_.now() + 2);
     });
     poll.set(loop_.now());
     loop_.run();
-    return held;
+    return satisfied;
   }
   static bool closed(int fd) {
     char bytes[4096];
@@ -181,7 +181,7 @@
   b.link.reset();
   ASSERT_TRUE(run_until([&] { return !a.link->is_up(id("b")); }));
   EXPECT_FALSE(a.link->send(id("b"), Channel::warm, "lost"));
-  begin(b, {7, 1});
+  start_link(b, {7, 1});
   ASSERT_TRUE(run_until([&] { return a.link_changes == std::vector<std::string>{"+b6", "-b6", "+b7"}; }));
   EXPECT_TRUE(a.duplicates.empty() && b.duplicates.empty());
 }
@@ -190,7 +190,7 @@
   reserve_ports({"a", "b"});
   auto &a = node("a", {5, 5}, false), &b = node("b");
   a.config.addresses[id("b")].port = reserve_port();  // as behind a broken proxy
-  begin(a, {5, 5});
+  start_link(a, {5, 5});
   ASSERT_TRUE(run_until([&] { return b.link->is_up(id("a")); }));
   ASSERT_TRUE(b.link->send(id("a"), Channel::warm, "one way"));
   EXPECT_TRUE(received(a, "one way"));
--- a/tests/fleet/segments_test.cpp
+++ b/tests/fleet/segments_test.cpp
@@ -17,7 +17,7 @@
 constexpr StreamId stream{7};
 const fleet::Roster single_member{{fleet::MemberId(1), "n1", "h0"}};
 
-LatestSettings small(std::size_t disk = 1 << 16) {
+LatestSettings small_log_settings(std::size_t disk = 1 << 16) {
   LatestSettings settings;
   settings.streams = {{stream, "status", {DestinationId(5)}, 1e9, 0, 0.3}};
   settings.segment_bytes = 4096, settings.max_disk_bytes = disk, settings.max_clock_offset = 60000;
@@ -34,7 +34,8 @@
 std::unique_ptr<PersistentLog> open(const std::shared_ptr<InMemoryDisk>& disk, Millis now,
                                     std::size_t most = 1 << 16) {
   return std::make_unique<PersistentLog>(std::make_unique<InMemoryFiles>(disk), "log", single_member,
-                                         fleet::MemberId(1), small(most), 1000, 1, now, 1e6 + now);
+                                         fleet::MemberId(1), small_log_settings(most), 1000, 1, now,
+                                         1e6 + now);
 }
 
 // What was acknowledged; the last append may have been in progress.
@@ -70,7 +71,7 @@
   }
 }
 
-std::vector<std::string> file_lines(PersistentLog& log) {
+std::vector<std::string> file_error_lines(PersistentLog& log) {
   auto lines = log.decide().log;
   std::erase_if(lines, [](const auto& line) { return line.find(" at byte ") == std::string::npos; });
   return lines;
@@ -107,7 +108,7 @@
     }
 }
 
-// Power fails during compactions: unsynced data is lost.
+// Power fails during compactions: data that was not synced is lost, acknowledged records are not.
 TEST(Segments, SurvivesAPowerFailureInACompaction) {
   for (int stop = 1;; ++stop) {
     auto disk = std::make_shared<InMemoryDisk>();
@@ -141,7 +142,7 @@
 TEST(Segments, TombstoneOutlivesOlderRecordsOnDisk) {
   auto disk = std::make_shared<InMemoryDisk>();
   Millis now = 0;
-  auto settings = small();
+  auto settings = small_log_settings();
   settings.streams[0].tombstone_retention = 1000, settings.streams[0].subscribers.clear();
   auto start = [&] {
     return std::make_unique<PersistentLog>(std::make_unique<InMemoryFiles>(disk), "log", single_member,
@@ -219,7 +220,7 @@
 TEST(Segments, RefusesRecordsThatDoNotFit) {
   auto disk = std::make_shared<InMemoryDisk>();
   Millis now = 0;
-  std::set<int> kept;
+  std::set<int> accepted;
   int refused = 0;
   {
     auto log = open(disk, now, 1 << 16);
@@ -227,15 +228,15 @@
       now += 1, log->begin_turn(now, 1e6 + now);
       try {
         log->append_local(record(i, i, 300));
-        kept.insert(i);
+        accepted.insert(i);
       } catch (const fleet::StorageUnavailable&) { ++refused; }
       log->decide();
     }
   }
-  EXPECT_GT(kept.size(), 80u);
+  EXPECT_GT(accepted.size(), 80u);
   EXPECT_GT(refused, 100);
   auto log = open(disk, now, 1 << 16);
-  for (int i : kept) EXPECT_TRUE(log->read(stream, key_hash("key" + std::to_string(i)))) << i;
+  for (int i : accepted) EXPECT_TRUE(log->read(stream, key_hash("key" + std::to_string(i)))) << i;
 }
 
 TEST(Segments, ReportsAndRenamesADamagedSegmentAndSavesTheRest) {
@@ -255,7 +256,7 @@
     if (file.starts_with("seg-") && name.empty()) name = file, content[1000] ^= 1;
   ASSERT_FALSE(bytes.empty());
   auto log = open(disk, now);
-  auto lines = file_lines(*log);
+  auto lines = file_error_lines(*log);
   ASSERT_EQ(lines.size(), 1u);
   EXPECT_NE(lines[0].find(name + " at byte"), std::string::npos) << lines[0];
   EXPECT_NE(lines[0].find("a record's checksum does not match"), std::string::npos) << lines[0];
@@ -265,7 +266,7 @@
   for (int i = 0; i < 30; ++i) found += log->read(stream, key_hash("key" + std::to_string(i))).has_value();
   EXPECT_EQ(found, 29);
   log.reset();
-  EXPECT_TRUE(file_lines(*open(disk, now)).empty());
+  EXPECT_TRUE(file_error_lines(*open(disk, now)).empty());
 }
 
 TEST(Segments, ReportsForeignAndMissingFiles) {
@@ -279,7 +280,7 @@
   disk->files["manifest"] = "nothing that a manifest would hold, but long enough for a frame";
   {
     auto log = open(disk, now);  // rebuilt from the segments
-    auto lines = file_lines(*log);
+    auto lines = file_error_lines(*log);
     EXPECT_TRUE(lines.size() == 1 && lines[0].find("manifest at byte 0") != std::string::npos);
     for (int i = 0; i < 40; ++i) EXPECT_TRUE(log->read(stream, key_hash("key" + std::to_string(i)))) << i;
   }
@@ -287,7 +288,7 @@
   for (auto& [file, content] : disk->files)
     if (file.starts_with("seg-") && name.empty()) name = file;
   disk->files.erase(name);
-  auto lines = file_lines(*open(disk, now));
+  auto lines = file_error_lines(*open(disk, now));
   ASSERT_FALSE(lines.empty());
   EXPECT_NE(lines[0].find(name), std::string::npos);
 }
