--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -636,6 +636,9 @@
     return accepted_.size() + static_cast<std::size_t>(dialled);
   }
 
+ private:
+  friend class Link;
+
   Link& link_;
   EventLoop& loop_;
   const std::string fleet_;
