--- a/src/model/cold_fleet.h
+++ b/src/model/cold_fleet.h
@@ -1,6 +1,7 @@
-// A fleet of decision modules on a virtual clock against one destination that fails and returns cold. Each
-// relay decides alone; the play sums the calls of all relays after each return and compares them with the
-// operators' budget for a server in slow start. It must never ask a module how it decides.
+// Simulates a fleet of decision modules on a virtual clock against one destination that fails and returns
+// cold. Each relay decides alone; the simulation sums the calls of all relays after each return and compares
+// them with the operators' budget for a server in slow start. It uses only the public interface of the
+// decision module.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +13,10 @@
 namespace rockcrank::model {
 
 enum class OutageKind : std::uint8_t {
-  refuses_connections,  // as a process that has died
-  silent,               // connections never come up, as at a machine that has vanished
-  hangs,                // calls are taken and never answered
-  refuses_calls,        // each call is turned away: shut, or its queue hangs full
+  refuses_connections,  // as when the process is down
+  silent,               // connections never come up, as when the machine is gone
+  hangs,                // calls are accepted and never answered
+  refuses_calls,        // each call is refused: closed, or its queue is full
   fails_most,           // most calls end with an error
   resets                // connections break under the call
 };
@@ -24,69 +25,71 @@
 struct Outage {
   Millis from = 0, to = 0;
   OutageKind kind{};
-  double failing_share = 1;  // of the calls, where it fails most
+  double failing_share = 1;  // share of the calls that fail, for fails_most
 };
 
-// A process is killed and starts again. With its folder it finds its messages and what it knew.
+// A process is killed and restarted. With its storage kept it recovers its documents and route statuses.
 struct Restart {
   std::size_t relay = 0;
   Millis from = 0, to = 0;
-  bool folder_kept = true;
+  bool storage_kept = true;
 };
 
-enum class LimitKnown : std::uint8_t { no, listed, listed_roughly, reported };
+enum class LimitKnowledge : std::uint8_t { no, listed, listed_roughly, reported };
 
-// What one play is like. Everything in it follows from a seed, or is set by a test.
+// The conditions of one simulation, drawn from a seed or set by a test.
 struct ColdScenario {
-  std::vector<double> relay_rates;  // messages a second that clients hand in for the destination
-  std::vector<bool> quiet;          // relays that get no message during an outage
-  double limit = 0;                 // calls a second that the destination takes from all relays
-  double listed_limit = 0;          // as the list tells it; up to half too high or too low where rough
-  double capacity = 0;              // calls a second that it can do, warm
-  double start_capacity = 0.2;      // share of it at the return
-  double fall_multiple = 2.5;
-  Millis fall_time = 2000;
-  Millis warm_within = 12000;
+  std::vector<double> relay_rates;       // documents per second that clients submit for the destination
+  std::vector<bool> idle_during_outage;  // relays that get no document during an outage
+  double limit = 0;                      // calls per second that the destination accepts from all relays
+  double listed_limit = 0;               // as discovery lists it; off by up to 50 % where listed_roughly
+  double capacity = 0;                   // calls per second that it can serve when warm
+  double start_capacity = 0.2;           // share of the capacity at the return
+  double overload_multiple = 2.5;
+  Millis overload_window = 2000;
+  Millis warm_up_time = 12000;
   Millis call_time = 120;
-  LimitKnown limit_known = LimitKnown::no;
+  LimitKnowledge limit_knowledge = LimitKnowledge::no;
   int endpoints = 1;
-  int bundle_max = 1;
-  double late_connections = 0;         // share of calls whose connection comes up late
-  Millis late_connection_most = 0;     // by at most so much
-  bool turns_away_excess = false;      // calls above the present capacity are refused
-  bool host_knows_connections = true;  // whether a call went on a new connection, as on sockets
-  bool relays_talk = false;            // what one relay learns reaches all others
+  int max_batch_size = 1;
+  double late_connection_share = 0;  // share of calls whose connection is delayed
+  Millis max_connection_delay = 0;   // upper bound of that delay
+  bool rejects_excess = false;       // calls above the current capacity are refused
+  bool host_knows_connections =
+      true;                    // the host reports whether a call used a new connection, as with sockets
+  bool relays_gossip = false;  // route statuses of one relay reach all others
   std::vector<Outage> outages;
   std::vector<Restart> restarts;
-  std::string told() const;  // one line
+  std::string describe() const;  // one line
 };
 
-// The calls of one span of the fall time, and the budget for it.
+// The calls within one overload window, and the budget for them.
 struct ColdSpan {
   double calls = 0;
-  double told = 0;     // of relays that had been told of the outage
-  double allowed = 0;  // N + 3 sqrt(N) + 3, from N = 30 on N + 2 sqrt(N) + 2
-  double budget = 0;   // N
+  double calls_of_informed_relays = 0;  // of relays that knew of the outage
+  double allowed = 0;                   // N + 3 sqrt(N) + 3, from N = 30 on N + 2 sqrt(N) + 2
+  double budget = 0;                    // N
   Millis since_return = 0;
-  double over() const { return calls - allowed; }
-  bool breaks_rule() const { return calls > allowed && told > calls * 2 / 3; }
+  double excess() const { return calls - allowed; }
+  bool violates_rule() const { return calls > allowed && calls_of_informed_relays > calls * 2 / 3; }
 };
 
 struct ColdReport {
-  ColdSpan worst;       // breaks the rule, or comes nearest to the bound
-  double calls = 0;     // after a return, while the destination was cold
-  double could_do = 0;  // calls that it could have done in that time
-  double wanted = 0;    // messages held or handed in then
+  ColdSpan worst;             // violates the rule, or comes nearest to the bound
+  double calls = 0;           // after a return, while the destination was cold
+  double possible_calls = 0;  // calls that the destination could have served in that time
+  double wanted = 0;          // documents held or submitted in that time
   double delivered = 0;
-  // Of what was wanted and could have been done, the share that was not asked for.
+  // Of the calls that were both wanted and possible, the share that was not made.
   double unused_share() const;
 };
 
 ColdScenario draw_cold_scenario(std::uint64_t seed, int relays);  // relays: 2 to 900
 struct ColdOptions {
-  bool steady_extra = false;     // the slack above N is 2 sqrt(N) + 2 for every N, as older tests have it
-  std::string* trace = nullptr;  // gets a line for each call, end and log line of a module
+  bool uniform_slack = false;    // allows N + 2 sqrt(N) + 2 for every N, as older tests do
+  std::string* trace = nullptr;  // receives a line for each call, its end and each log line of a module
 };
-ColdReport play_cold(const ColdScenario& scenario, std::uint64_t seed, const ColdOptions& options = {});
+ColdReport simulate_cold_return(const ColdScenario& scenario, std::uint64_t seed,
+                                const ColdOptions& options = {});
 
 }  // namespace rockcrank::model
--- a/src/model/cold_run.cpp
+++ b/src/model/cold_run.cpp
@@ -1,4 +1,4 @@
-// Many plays of cold returns; cold_run.h says what it owns.
+// Runs many simulations of cold returns.
 #include "model/cold_run.h"
 
 #include <atomic>
@@ -7,86 +7,91 @@
 #include <thread>
 #include <vector>
 
-#include "model/chance.h"
 #include "model/cold_fleet.h"
+#include "model/random.h"
 
 namespace rockcrank::model {
 namespace {
 
-struct Play {
+struct Simulation {
   ColdScenario scenario;
   ColdReport report;
 };
 
 int draw_relays(std::uint64_t seed) {
-  Chance chance(mixed(seed, 0xc01d));
-  double share = chance.share();
-  if (share < 0.3) return 2 + chance.below(10);
-  if (share < 0.7) return 12 + chance.below(49);
-  if (share < 0.95) return 60 + chance.below(241);
-  return 300 + chance.below(601);
+  RandomSource random(hash_values(seed, 0xc01d));
+  double share = random.uniform();
+  if (share < 0.3) return 2 + random.uniform_below(10);
+  if (share < 0.7) return 12 + random.uniform_below(49);
+  if (share < 0.95) return 60 + random.uniform_below(241);
+  return 300 + random.uniform_below(601);
 }
 
-// relays: 0 where their number is drawn too.
+// relays: 0 to draw their number from the seed.
 ColdScenario scenario_of(std::uint64_t seed, int relays) {
   return draw_cold_scenario(seed, relays > 0 ? relays : draw_relays(seed));
 }
 
-void print_span(const char* what, std::uint64_t seed, const Play& play) {
-  const ColdSpan& span = play.report.worst;
+void print_span(const char* what, std::uint64_t seed, const Simulation& simulation) {
+  const ColdSpan& span = simulation.report.worst;
   std::printf(
-      "%s: cold seed %llu: %.0f calls, %.0f of them by relays told of the outage, %.1f allowed (budget "
+      "%s: cold seed %llu: %.0f calls, %.0f of them by relays informed of the outage, %.1f allowed (budget "
       "%.1f), "
       "%.0f ms after the return; unused %.2f\n  %s\n",
-      what, static_cast<unsigned long long>(seed), span.calls, span.told, span.allowed, span.budget,
-      span.since_return, play.report.unused_share(), play.scenario.told().c_str());
+      what, static_cast<unsigned long long>(seed), span.calls, span.calls_of_informed_relays, span.allowed,
+      span.budget, span.since_return, simulation.report.unused_share(),
+      simulation.scenario.describe().c_str());
 }
 
 }  // namespace
 
 std::string trace_cold_return(std::uint64_t seed, int relays) {
   std::string trace;
-  play_cold(scenario_of(seed, relays), seed, {false, &trace});
+  simulate_cold_return(scenario_of(seed, relays), seed, {false, &trace});
   return trace;
 }
 
-bool tell_cold_returns(std::uint64_t first, std::uint64_t last, int relays, int threads, bool go_on) {
-  std::vector<Play> plays(last - first + 1);
+bool run_cold_returns(std::uint64_t first, std::uint64_t last, int relays, int threads, bool keep_going) {
+  std::vector<Simulation> simulations(last - first + 1);
   std::atomic<std::uint64_t> next = first;
   auto work = [&] {
     for (std::uint64_t seed = next++; seed <= last; seed = next++) {
-      Play& play = plays[seed - first];
-      play.scenario = scenario_of(seed, relays);
-      play.report = play_cold(play.scenario, seed);
+      Simulation& simulation = simulations[seed - first];
+      simulation.scenario = scenario_of(seed, relays);
+      simulation.report = simulate_cold_return(simulation.scenario, seed);
     }
   };
   std::vector<std::thread> workers;
   for (int i = 0; i < threads; ++i) workers.emplace_back(work);
   for (auto& worker : workers) worker.join();
 
-  std::uint64_t broken = 0, over = 0;
-  double calls = 0, could_do = 0, wanted = 0, delivered = 0;
+  std::uint64_t violations = 0, over_allowance = 0;
+  double calls = 0, possible_calls = 0, wanted = 0, delivered = 0;
   std::uint64_t nearest = first;
   for (std::uint64_t seed = first; seed <= last; ++seed) {
-    const Play& play = plays[seed - first];
-    const ColdSpan& span = play.report.worst;
-    calls += play.report.calls;
-    could_do += play.report.could_do;
-    wanted += play.report.wanted;
-    delivered += play.report.delivered;
-    over += span.over() > 0;
-    auto used = [](const ColdSpan& one) { return one.allowed > 0 ? one.told / one.allowed : 0; };
-    if (used(span) > used(plays[nearest - first].report.worst)) nearest = seed;
-    if (!span.breaks_rule()) continue;
-    if (++broken == 1 || go_on) print_span("broken", seed, play);
+    const Simulation& simulation = simulations[seed - first];
+    const ColdSpan& span = simulation.report.worst;
+    calls += simulation.report.calls;
+    possible_calls += simulation.report.possible_calls;
+    wanted += simulation.report.wanted;
+    delivered += simulation.report.delivered;
+    over_allowance += span.excess() > 0;
+    auto used = [](const ColdSpan& one) {
+      return one.allowed > 0 ? one.calls_of_informed_relays / one.allowed : 0;
+    };
+    if (used(span) > used(simulations[nearest - first].report.worst)) nearest = seed;
+    if (!span.violates_rule()) continue;
+    if (++violations == 1 || keep_going) print_span("broken", seed, simulation);
   }
-  print_span("nearest", nearest, plays[nearest - first]);
+  print_span("nearest", nearest, simulations[nearest - first]);
   std::printf(
-      "cold: %zu plays, %llu broken, %llu with more calls than allowed by whomever; while cold: %.0f calls, "
-      "could do %.0f, wanted %.0f, delivered %.0f; %s\n",
-      plays.size(), static_cast<unsigned long long>(broken), static_cast<unsigned long long>(over), calls,
-      could_do, wanted, delivered, broken == 0 ? "all hold" : "BROKEN");
-  return broken == 0;
+      "cold: %zu simulations, %llu broken, %llu with more calls than allowed from all relays; while cold: "
+      "%.0f calls, "
+      "possible %.0f, wanted %.0f, delivered %.0f; %s\n",
+      simulations.size(), static_cast<unsigned long long>(violations),
+      static_cast<unsigned long long>(over_allowance), calls, possible_calls, wanted, delivered,
+      violations == 0 ? "all hold" : "BROKEN");
+  return violations == 0;
 }
 
 }  // namespace rockcrank::model
--- a/src/model/cold_run.h
+++ b/src/model/cold_run.h
@@ -1,4 +1,4 @@
-// Many plays of cold returns, and the table that rockcrank_model prints of them.
+// Runs many simulations of cold returns and prints the report of rockcrank_model.
 #pragma once
 
 #include <cstdint>
@@ -6,11 +6,12 @@
 
 namespace rockcrank::model {
 
-// Plays each seed of the range with so many relays (0: drawn from the seed) and prints each play that breaks
-// the rule (the first one only, unless told to go on), then the worst spans. True: all hold.
-bool tell_cold_returns(std::uint64_t first, std::uint64_t last, int relays, int threads, bool go_on);
+// Simulates each seed of the range with `relays` relays (0: drawn from the seed). Prints the simulations that
+// violate the rule (only the first one without `keep_going`), the span nearest to the bound and a summary.
+// Returns true where all hold.
+bool run_cold_returns(std::uint64_t first, std::uint64_t last, int relays, int threads, bool keep_going);
 
-// One play, told line by line.
+// Returns the trace of one simulation, a line for each event.
 std::string trace_cold_return(std::uint64_t seed, int relays);
 
 }  // namespace rockcrank::model
--- a/src/model/custody.cpp
+++ b/src/model/custody.cpp
@@ -1,13 +1,14 @@
-// The runs of custody, and what must hold of it: never two processes that may act for a document, no
-// acknowledged document lost while one holder of three is lost at a time, one end, nothing binding sent once
-// it may have run, a take-over in time. The owner's decision module is a short stand-in that sends now and
-// then until an end is due. It must never ask the module whom it believes to be the owner but by owns().
+// Workload of custody. Invariants: at most one process may act for a document, no acknowledged document is
+// lost while at most one of three replicas is lost at a time, each document has one end, a non-repeatable
+// document is not sent again once it may have run, and take-overs happen in time. The owner's decision module
+// is replaced by a simple one that sends at random times until an end is due. The checks learn who owns a
+// document only through owns().
 #include <algorithm>
 #include <cmath>
 #include <map>
 #include <set>
 
-#include "model/fellow.h"
+#include "model/member_process.h"
 #include "model/part.h"
 
 namespace rockcrank::model {
@@ -19,477 +20,491 @@
 using fleet::GlobalDocId;
 using fleet::MemberId;
 
-constexpr Millis lease = 2000, copy_within = 200, lifetime = 15000;
-constexpr Millis settled_within = 20000 + lifetime;
-constexpr Millis healed_after = 10000;  // a lost holder is replaced by then
-constexpr Millis alone_before = 5000;   // no other fault so long before a kill, where nothing may be lost
-constexpr Millis call_least = 1, call_most = 400;
-constexpr int transmissions_most = 4;
+constexpr Millis lease = 2000, copy_timeout = 200, lifetime = 15000;
+constexpr Millis settle_time = 20000 + lifetime;
+constexpr Millis replica_recovery_time = 10000;  // a lost replica is replaced by then
+constexpr Millis quiet_before_kill =
+    5000;  // no other fault within this time before a kill, where no loss is allowed
+constexpr Millis min_call_time = 1, max_call_time = 400;
+constexpr int max_transmissions = 4;
 
-struct OnDisk {
-  GlobalDocId deed;
+struct StoredDocument {
+  GlobalDocId id;
   int doc = 0, transmissions = 0;
   bool binding = false, ended = false;
-  Millis expiry = 0;  // true time, as a wall clock has it
+  Millis expiry = 0;  // in virtual time, as of a wall clock
   std::string end;
-  std::map<int, Millis> risks;
+  std::map<int, Millis> in_doubt;
 };
 
-struct Disk {
-  std::map<fleet::GroupId, fleet::PersistentGroupState> notes;
-  std::map<std::uint64_t, OnDisk> docs;
-  std::set<fleet::Incarnation> lives;
-  std::uint64_t highest = 0;
+struct Storage {
+  std::map<fleet::GroupId, fleet::PersistentGroupState> group_states;
+  std::map<std::uint64_t, StoredDocument> docs;
+  std::set<fleet::Incarnation> incarnations;
+  std::uint64_t last_number = 0;
 };
 
-class Keeper : public Upper {
+class CustodyNode : public PartModules {
  public:
   std::unique_ptr<Custody> custody;
-  Disk disk;
+  Storage storage;
   std::map<GlobalDocId, std::uint64_t> numbers;
-  std::set<std::uint64_t> owed, out;
-  std::function<void(std::uint64_t)> on_work;
-  std::function<void(const Custody::Actions&)> on_decided;
-  bool begun = false;
+  std::set<std::uint64_t> pending, in_flight;
+  std::function<void(std::uint64_t)> on_task;
+  std::function<void(const Custody::Actions&)> on_actions;
+  bool recovered = false;
 
-  void begin(Millis now) override {
+  void begin_turn(Millis now) override {
     custody->begin_turn(now);
-    if (begun) return;
-    begun = true;
+    if (recovered) return;
+    recovered = true;
     recover();
   }
   std::function<void()> recover;
-  void member(const fleet::Membership::Change& change) override {
+  void on_member_change(const fleet::Membership::Change& change) override {
     custody->on_member_change(change.member, change.incarnation, change.state);
   }
-  void linked(MemberId peer, fleet::Incarnation, bool up) override { custody->on_link_change(peer, up); }
-  void heard(MemberId from, const Payload& message) override {
-    if (const auto* papers = std::get_if<fleet::CustodyMessage>(&message)) custody->on_message(from, *papers);
+  void on_link_change(MemberId peer, fleet::Incarnation, bool up) override {
+    custody->on_link_change(peer, up);
   }
-  void work(std::uint64_t what) override { on_work(what); }
+  void on_message(MemberId from, const Payload& message) override {
+    if (const auto* state = std::get_if<fleet::CustodyMessage>(&message)) custody->on_message(from, *state);
+  }
+  void run_task(std::uint64_t task) override { on_task(task); }
   Millis decide(Outbox& outbox) override {
-    auto decided = custody->decide();
-    on_decided(decided);
-    for (auto& send : decided.sends) outbox.emplace_back(send.to, std::move(send.message));
-    return decided.wake_in;
+    auto actions = custody->decide();
+    on_actions(actions);
+    for (auto& send : actions.sends) outbox.emplace_back(send.to, std::move(send.message));
+    return actions.wake_in;
   }
   void drop(std::uint64_t number) {
-    auto found = disk.docs.find(number);
-    if (found == disk.docs.end()) return;
-    numbers.erase(found->second.deed);
-    disk.docs.erase(found), owed.erase(number), out.erase(number);
+    auto found = storage.docs.find(number);
+    if (found == storage.docs.end()) return;
+    numbers.erase(found->second.id);
+    storage.docs.erase(found), pending.erase(number), in_flight.erase(number);
   }
 };
 
-class CustodyTrial : public Trial {
+class CustodyWorkload : public Workload {
  public:
-  explicit CustodyTrial(const Order& order) : order_(order) {}
+  explicit CustodyWorkload(const RunOptions& options) : options_(options) {}
 
   void begin(World& world) override {
-    keepers_.resize(world.machines());
-    Chance chance(mixed(world.seed(), 0x51));
-    wait_ = chance.odds(0.75);
-    int count = 30 + chance.below(world.shape().members > 30 ? 60 : 150);
+    nodes_.resize(world.machines());
+    RandomSource random(hash_values(world.seed(), 0x51));
+    wait_for_copies_ = random.bernoulli(0.75);
+    int count = 30 + random.uniform_below(world.config().members > 30 ? 60 : 150);
     for (int i = 0; i < count; ++i) {
-      Doc doc;
-      doc.at = chance.between(6000, world.shape().healed), doc.place = chance.below(world.shape().members);
-      doc.binding = chance.odds(0.5), doc.expiry = doc.at + chance.between(0.3, 1) * lifetime;
+      ExpectedDocument doc;
+      doc.at = random.between(6000, world.config().faults_until),
+      doc.index = random.uniform_below(world.config().members);
+      doc.binding = random.bernoulli(0.5), doc.expiry = doc.at + random.between(0.3, 1) * lifetime;
       docs_.push_back(doc);
-      act(world, doc.at, {Act::hand_in, doc.place, 0, i, 0, {}, 0, 0});
+      schedule_step(world, doc.at, {Step::submit, doc.index, 0, i, 0, {}, 0, 0});
     }
-    strict_ = nothing_may_be_lost(world);
-    quiet_ = std::all_of(world.faults().begin(), world.faults().end(),
-                         [](const Fault& fault) { return fault.kind == Fault::Kind::kill; });
+    no_loss_allowed_ = kills_are_isolated(world);
+    kills_only_ = std::all_of(world.faults().begin(), world.faults().end(),
+                              [](const Fault& fault) { return fault.kind == Fault::Kind::kill; });
   }
 
-  std::unique_ptr<Modules> boot(World& world, int place, const std::any& folder, Millis) override {
-    auto& machine = world.machine(place);
+  std::unique_ptr<Process> boot(World& world, int index, const std::any& stored, Millis) override {
+    auto& machine = world.machine(index);
     auto self = world.roster()[machine.member].id;
-    auto keeper = std::make_unique<Keeper>();
-    auto* raw = keepers_[place] = keeper.get();
-    if (const auto* disk = std::any_cast<Disk>(&folder)) keeper->disk = *disk;
-    keeper->custody =
-        Custody::make(world.roster(), self, machine.life, {lease, world.shape().drift, copy_within, wait_},
-                      mixed(world.seed(), 0x52, place, machine.boots));
-    keeper->recover = [this, &world, place, raw, life = machine.life] {
+    auto node = std::make_unique<CustodyNode>();
+    auto* raw = nodes_[index] = node.get();
+    if (const auto* storage = std::any_cast<Storage>(&stored)) node->storage = *storage;
+    node->custody = Custody::make(world.roster(), self, machine.incarnation,
+                                  {lease, world.config().max_clock_drift, copy_timeout, wait_for_copies_},
+                                  hash_values(world.seed(), 0x52, index, machine.boots));
+    node->recover = [this, &world, index, raw, incarnation = machine.incarnation] {
       auto& custody = *raw->custody;
-      for (const auto& one : raw->disk.lives) custody.add_past_incarnation(one);
-      raw->disk.lives.insert(life);
-      for (const auto& [group, note] : raw->disk.notes) custody.restore_group(note);
-      for (const auto& [number, doc] : raw->disk.docs) {
-        raw->numbers[doc.deed] = number;
-        custody.restore_document(papers_of(world, doc), raw->disk.highest);
+      for (const auto& one : raw->storage.incarnations) custody.add_past_incarnation(one);
+      raw->storage.incarnations.insert(incarnation);
+      for (const auto& [group, group_state] : raw->storage.group_states) custody.restore_group(group_state);
+      for (const auto& [number, doc] : raw->storage.docs) {
+        raw->numbers[doc.id] = number;
+        custody.restore_document(document_state_of(world, doc), raw->storage.last_number);
       }
       custody.set_has_capacity(true);
     };
-    raw->on_work = [this, &world, place](std::uint64_t what) { work(world, place, acts_[what]); };
-    raw->on_decided = [this, &world, place](const auto& decided) { carry_out(world, place, decided); };
-    auto below = mixed(world.seed(), 0x41, place, machine.boots);
-    return std::make_unique<Fellow>(fleet::Membership::make(world.roster(), self, machine.life, below),
-                                    std::move(keeper));
+    raw->on_task = [this, &world, index](std::uint64_t task) { run_step(world, index, steps_[task]); };
+    raw->on_actions = [this, &world, index](const auto& actions) { apply_actions(world, index, actions); };
+    auto membership_seed = hash_values(world.seed(), 0x41, index, machine.boots);
+    return std::make_unique<MemberProcess>(
+        fleet::Membership::make(world.roster(), self, machine.incarnation, membership_seed), std::move(node));
   }
-  std::any folder(World&, int place) override { return keepers_[place]->disk; }
-  void killed(World& world, int place) override {
-    for (const auto& [number, doc] : keepers_[place]->disk.docs) {
-      auto& truth = docs_[doc.doc];
-      if (truth.ok && !truth.over()) truth.owner_died = world.now();
+  std::any storage_snapshot(World&, int index) override { return nodes_[index]->storage; }
+  void on_process_end(World& world, int index) override {
+    for (const auto& [number, doc] : nodes_[index]->storage.docs) {
+      auto& expected = docs_[doc.doc];
+      if (expected.accepted && !expected.has_ended()) expected.owner_died = world.now();
     }
-    keepers_[place] = nullptr;
+    nodes_[index] = nullptr;
   }
 
-  void event(World& world, std::uint64_t what) override {
-    const auto& act = acts_[what];
-    bool there = world.machine(act.place).state != Machine::State::off &&
-                 (act.boots == 0 || world.machine(act.place).boots == act.boots);
-    if (there) world.give(act.place, what);
+  void on_timer(World& world, std::uint64_t task) override {
+    const auto& step = steps_[task];
+    bool is_running = world.machine(step.index).state != Machine::State::off &&
+                      (step.boots == 0 || world.machine(step.index).boots == step.boots);
+    if (is_running) world.enqueue_task(step.index, task);
   }
 
-  void watch(World& world) override {
+  void check(World& world) override {
     std::map<int, int> owner;
     for (int i = 0; i < world.machines(); ++i) {
-      if (!world.running(i) || !keepers_[i]->begun) continue;
-      auto& keeper = *keepers_[i];
-      keeper.custody->begin_turn(world.local(i));
-      for (const auto& [number, doc] : keeper.disk.docs)
-        if (owns(keeper, doc)) {
-          auto [at, fresh] = owner.try_emplace(doc.doc, i);
-          if (!fresh)
-            world.broken("two-owners", "members %d and %d may both act for document %d", at->second, i,
-                         doc.doc);
+      if (!world.is_running(i) || !nodes_[i]->recovered) continue;
+      auto& node = *nodes_[i];
+      node.custody->begin_turn(world.local_time(i));
+      for (const auto& [number, doc] : node.storage.docs)
+        if (owns(node, doc)) {
+          auto [at, inserted] = owner.try_emplace(doc.doc, i);
+          if (!inserted)
+            world.report_violation("two-owners", "members %d and %d may both act for document %d", at->second,
+                                   i, doc.doc);
         }
     }
   }
 
-  void finish(World& world) override {
-    int ok = 0;
+  void check_final(World& world) override {
+    int accepted = 0;
     for (std::size_t i = 0; i < docs_.size(); ++i) {
       const auto& doc = docs_[i];
-      ok += doc.ok;
-      if (!strict_ || !wait_ || !doc.ok || doc.over()) continue;
+      accepted += doc.accepted;
+      if (!no_loss_allowed_ || !wait_for_copies_ || !doc.accepted || doc.has_ended()) continue;
       std::string held;
       for (int p = 0; p < world.machines(); ++p)
-        if (world.running(p))
-          for (const auto& [number, one] : keepers_[p]->disk.docs)
+        if (world.is_running(p))
+          for (const auto& [number, one] : nodes_[p]->storage.docs)
             if (one.doc == static_cast<int>(i)) {
               held += " ";
               held += std::to_string(p);
-              held += owns(*keepers_[p], one) ? " owns" : " waits";
+              held += owns(*nodes_[p], one) ? " (owner)" : " (not owner)";
             }
-      world.broken("lost", "document %zu was acknowledged at %.0f and has no end at the end; it is with:%s",
-                   i, doc.ok_at, held.empty() ? " nobody" : held.c_str());
+      world.report_violation("lost", "document %zu was acknowledged at %.0f and has not ended; held by:%s", i,
+                             doc.accepted_at, held.empty() ? " no member" : held.c_str());
     }
-    if (world.faults().empty() && ok * 20 < static_cast<int>(docs_.size()) * 19)
-      world.broken("taken", "%d of %zu documents were taken on where nothing failed", ok, docs_.size());
-    if (!order_.samples) return;
-    auto size = std::to_string(world.shape().members) + " members" + (wait_ ? "" : ", not waiting");
+    if (world.faults().empty() && accepted * 20 < static_cast<int>(docs_.size()) * 19)
+      world.report_violation("taken", "%d of %zu documents were accepted in a run without faults", accepted,
+                             docs_.size());
+    if (!options_.samples) return;
+    auto size =
+        std::to_string(world.config().members) + " members" + (wait_for_copies_ ? "" : ", not waiting");
     for (auto& [name, list] : samples_) {
-      auto& all = (*order_.samples)[name + ", " + size];
+      auto& all = (*options_.samples)[name + ", " + size];
       all.insert(all.end(), list.begin(), list.end());
     }
-    (*order_.samples)["custody messages a document, " + size].push_back(
+    (*options_.samples)["custody messages a document, " + size].push_back(
         static_cast<double>(world.messages[2]) / static_cast<double>(docs_.size()));
   }
 
  private:
-  struct Doc {
-    Millis at = 0, expiry = 0, ok_at = 0, owner_died = -1;
-    int place = 0;
-    bool binding = false, ok = false, busy = false, delivered = false, settled = false;
-    std::string told;
-    int ran = 0;
-    bool over() const { return delivered || !told.empty(); }
+  struct ExpectedDocument {
+    Millis at = 0, expiry = 0, accepted_at = 0, owner_died = -1;
+    int index = 0;
+    bool binding = false, accepted = false, rejected = false, delivered = false, end_recorded = false;
+    std::string reported_end;
+    int run_count = 0;
+    bool has_ended() const { return delivered || !reported_end.empty(); }
   };
-  struct Act {
-    enum Kind { hand_in, go_on, came_back } kind{};
-    int place = 0, boots = 0, doc = 0;
+  struct Step {
+    enum Kind { submit, process, call_returned } kind{};
+    int index = 0, boots = 0, doc = 0;
     std::uint64_t number = 0;
-    GlobalDocId deed;
-    int transmission = 0, ending = 0;
+    GlobalDocId id;
+    int transmission = 0, result = 0;
   };
 
-  // Kills one after another, and around each no link cut and nobody stalled.
-  bool nothing_may_be_lost(const World& world) const {
+  // True where kills don't overlap and no link is cut and no process stalled around any of them.
+  bool kills_are_isolated(const World& world) const {
     Millis free = 0;
-    int for_good = 0;
+    int permanent_kills = 0;
     for (const auto& kill : world.faults()) {
       if (kill.kind != Fault::Kind::kill) continue;
       if (kill.at < free) return false;
-      auto until = (kill.until < 0 ? kill.at : kill.until) + healed_after;
-      for_good += kill.until < 0;
-      if (world.shape().members - for_good < 3) until = world.shape().end;
+      auto until = (kill.until < 0 ? kill.at : kill.until) + replica_recovery_time;
+      permanent_kills += kill.until < 0;
+      if (world.config().members - permanent_kills < 3) until = world.config().end;
       free = until;
       for (const auto& other : world.faults()) {
         using Kind = Fault::Kind;
-        bool stops = other.kind == Kind::cut || other.kind == Kind::islands || other.kind == Kind::stall;
-        if (stops && other.at < until && other.until > kill.at - alone_before) return false;
+        bool stops = other.kind == Kind::cut || other.kind == Kind::partition || other.kind == Kind::stall;
+        if (stops && other.at < until && other.until > kill.at - quiet_before_kill) return false;
       }
     }
     return true;
   }
 
-  void act(World& world, Millis at, Act what) {
-    acts_.push_back(std::move(what));
-    world.call(at, acts_.size() - 1);
+  void schedule_step(World& world, Millis at, Step step) {
+    steps_.push_back(std::move(step));
+    world.schedule(at, steps_.size() - 1);
   }
 
-  bool owns(const Keeper& keeper, const OnDisk& doc) const {
-    if (order_.plant == "owns-always") return true;
-    return keeper.custody->owns(doc.deed);
+  bool owns(const CustodyNode& node, const StoredDocument& doc) const {
+    if (options_.injected_fault == "owns-always") return true;
+    return node.custody->owns(doc.id);
   }
 
-  DocumentState papers_of(World& world, const OnDisk& doc) const {
-    DocumentState papers;
-    papers.id = doc.deed, papers.record = std::to_string(doc.doc) + "/" + doc.end;
-    papers.time_left = doc.expiry - world.now();
-    papers.transmission_count = doc.transmissions, papers.replicate_before_send = doc.binding,
-    papers.ended = doc.ended;
-    papers.acceptance_confirmed = docs_[doc.doc].ok;
-    for (const auto& [risk, at] : doc.risks) papers.in_doubt.push_back({risk, world.now() - at, {}});
-    return papers;
+  DocumentState document_state_of(World& world, const StoredDocument& doc) const {
+    DocumentState state;
+    state.id = doc.id, state.record = std::to_string(doc.doc) + "/" + doc.end;
+    state.time_left = doc.expiry - world.now();
+    state.transmission_count = doc.transmissions, state.replicate_before_send = doc.binding,
+    state.ended = doc.ended;
+    state.acceptance_confirmed = docs_[doc.doc].accepted;
+    for (const auto& [in_doubt_transmission, at] : doc.in_doubt)
+      state.in_doubt.push_back({in_doubt_transmission, world.now() - at, {}});
+    return state;
   }
 
-  void work(World& world, int place, const Act& act) {
-    switch (act.kind) {
-      case Act::hand_in: return hand_in(world, place, act.doc);
-      case Act::go_on: return go_on(world, place, act.number);
-      case Act::came_back: return came_back(world, place, act);
+  void run_step(World& world, int index, const Step& step) {
+    switch (step.kind) {
+      case Step::submit: return submit(world, index, step.doc);
+      case Step::process: return process(world, index, step.number);
+      case Step::call_returned: return call_returned(world, index, step);
     }
   }
 
-  void hand_in(World& world, int place, int number_of_doc) {
-    auto& keeper = *keepers_[place];
-    auto& truth = docs_[number_of_doc];
-    truth.at = world.now();
-    OnDisk doc;
-    doc.doc = number_of_doc, doc.binding = truth.binding, doc.expiry = truth.expiry;
-    auto number = ++keeper.disk.highest;
-    doc.deed = keeper.custody->next_document_id(number);
-    keeper.numbers[doc.deed] = number, keeper.disk.docs[number] = doc, keeper.owed.insert(number);
-    auto papers = papers_of(world, doc);
-    papers.acceptance_confirmed = false;
-    keeper.custody->accept(papers);
-    if (order_.plant == "answered-early") answer(world, place, doc.deed, true);
-    if (keeper.custody->is_accepted(doc.deed)) answer(world, place, doc.deed, true);
-    soon(world, place, number);
+  void submit(World& world, int index, int doc_number) {
+    auto& node = *nodes_[index];
+    auto& expected = docs_[doc_number];
+    expected.at = world.now();
+    StoredDocument doc;
+    doc.doc = doc_number, doc.binding = expected.binding, doc.expiry = expected.expiry;
+    auto number = ++node.storage.last_number;
+    doc.id = node.custody->next_document_id(number);
+    node.numbers[doc.id] = number, node.storage.docs[number] = doc, node.pending.insert(number);
+    auto state = document_state_of(world, doc);
+    state.acceptance_confirmed = false;
+    node.custody->accept(state);
+    if (options_.injected_fault == "answered-early") answer_client(world, index, doc.id, true);
+    if (node.custody->is_accepted(doc.id)) answer_client(world, index, doc.id, true);
+    schedule_processing(world, index, number);
   }
 
-  void soon(World& world, int place, std::uint64_t number) {
-    act(world, world.now() + world.chance().between(1, 3000),
-        {Act::go_on, place, world.machine(place).boots, 0, number, {}, 0, 0});
+  void schedule_processing(World& world, int index, std::uint64_t number) {
+    schedule_step(world, world.now() + world.random().between(1, 3000),
+                  {Step::process, index, world.machine(index).boots, 0, number, {}, 0, 0});
   }
 
-  void answer(World& world, int place, const GlobalDocId& deed, bool taken) {
-    auto& keeper = *keepers_[place];
-    auto found = keeper.numbers.find(deed);
-    if (found == keeper.numbers.end()) return;
+  void answer_client(World& world, int index, const GlobalDocId& id, bool accepted) {
+    auto& node = *nodes_[index];
+    auto found = node.numbers.find(id);
+    if (found == node.numbers.end()) return;
     auto number = found->second;
-    auto& truth = docs_[keeper.disk.docs[number].doc];
-    world.note("member %d answers document %d: %s", place, keeper.disk.docs[number].doc,
-               taken ? "taken" : "busy");
-    if (taken && !truth.ok) {
-      truth.ok = true, truth.ok_at = world.now();
-      if (order_.samples) samples_["ms until +OK"].push_back(world.now() - truth.at);
+    auto& expected = docs_[node.storage.docs[number].doc];
+    world.trace_line("member %d answers the client of document %d: %s", index, node.storage.docs[number].doc,
+                     accepted ? "accepted" : "busy");
+    if (accepted && !expected.accepted) {
+      expected.accepted = true, expected.accepted_at = world.now();
+      if (options_.samples) samples_["ms until +OK"].push_back(world.now() - expected.at);
     }
-    if (!taken) truth.busy = true;
-    if (truth.ok && truth.busy)
-      world.broken("answered-twice", "document %d: both taken and not", keeper.disk.docs[number].doc);
-    if (!taken && truth.ran > 0 && truth.binding)
-      world.broken("sent-unanswered", "document %d went out and its client was told to come again",
-                   keeper.disk.docs[number].doc);
-    if (!taken) keeper.drop(number);
+    if (!accepted) expected.rejected = true;
+    if (expected.accepted && expected.rejected)
+      world.report_violation("answered-twice", "document %d: both accepted and rejected",
+                             node.storage.docs[number].doc);
+    if (!accepted && expected.run_count > 0 && expected.binding)
+      world.report_violation("sent-unanswered", "document %d was sent and its client told to retry",
+                             node.storage.docs[number].doc);
+    if (!accepted) node.drop(number);
   }
 
-  // The decision module, in short.
-  void go_on(World& world, int place, std::uint64_t number) {
-    auto& keeper = *keepers_[place];
-    if (!keeper.owed.count(number) || keeper.out.count(number)) return;
-    auto& doc = keeper.disk.docs[number];
-    if (!owns(keeper, doc)) return soon(world, place, number);
-    bool late = world.now() >= doc.expiry || doc.transmissions >= transmissions_most;
-    if (doc.ended || late || (doc.binding && !doc.risks.empty() && order_.plant != "risk-forgotten")) {
+  // Stands in for the decision module.
+  void process(World& world, int index, std::uint64_t number) {
+    auto& node = *nodes_[index];
+    if (!node.pending.count(number) || node.in_flight.count(number)) return;
+    auto& doc = node.storage.docs[number];
+    if (!owns(node, doc)) return schedule_processing(world, index, number);
+    bool late = world.now() >= doc.expiry || doc.transmissions >= max_transmissions;
+    if (doc.ended || late ||
+        (doc.binding && !doc.in_doubt.empty() && options_.injected_fault != "risk-forgotten")) {
       if (!doc.ended) {
         doc.ended = true;
         doc.end =
-            "abandoned by " + std::to_string(place) + " at " + std::to_string(static_cast<long>(world.now()));
-        keeper.custody->record_ended(doc.deed, std::to_string(doc.doc) + "/" + doc.end);
+            "abandoned by " + std::to_string(index) + " at " + std::to_string(static_cast<long>(world.now()));
+        node.custody->record_ended(doc.id, std::to_string(doc.doc) + "/" + doc.end);
       }
-      if (order_.plant == "told-early" || keeper.custody->may_report_end(doc.deed))
-        tell(world, place, number);
+      if (options_.injected_fault == "told-early" || node.custody->may_report_end(doc.id))
+        report_end(world, index, number);
       return;
     }
     int transmission = doc.transmissions++;
-    doc.risks[transmission] = world.now();
-    keeper.out.insert(number);
-    keeper.custody->record_transmission(doc.deed, transmission, {});
-    if (order_.plant == "goes-early" || keeper.custody->may_send(doc.deed, transmission))
-      call(world, place, number, transmission);
+    doc.in_doubt[transmission] = world.now();
+    node.in_flight.insert(number);
+    node.custody->record_transmission(doc.id, transmission, {});
+    if (options_.injected_fault == "goes-early" || node.custody->may_send(doc.id, transmission))
+      send_document(world, index, number, transmission);
   }
 
-  // No other process may act for it now.
-  void alone(World& world, int place, int number_of_doc, const char* doing) {
+  // Checks that no other process may act for the document now.
+  void check_sole_owner(World& world, int index, int doc_number, const char* action) {
     for (int i = 0; i < world.machines(); ++i) {
-      if (i == place || !world.running(i) || !keepers_[i]->begun) continue;
-      for (const auto& [number, doc] : keepers_[i]->disk.docs) {
-        if (doc.doc != number_of_doc) continue;
-        keepers_[i]->custody->begin_turn(world.local(i));
-        if (owns(*keepers_[i], doc))
-          world.broken("two-owners", "member %d %s document %d, for which member %d may act", place, doing,
-                       number_of_doc, i);
+      if (i == index || !world.is_running(i) || !nodes_[i]->recovered) continue;
+      for (const auto& [number, doc] : nodes_[i]->storage.docs) {
+        if (doc.doc != doc_number) continue;
+        nodes_[i]->custody->begin_turn(world.local_time(i));
+        if (owns(*nodes_[i], doc))
+          world.report_violation("two-owners", "member %d %s document %d, for which member %d may act", index,
+                                 action, doc_number, i);
       }
     }
   }
 
-  void call(World& world, int place, std::uint64_t number, int transmission) {
-    auto& keeper = *keepers_[place];
-    const auto& doc = keeper.disk.docs[number];
-    auto& truth = docs_[doc.doc];
-    world.note("member %d sends document %d, transmission %d", place, doc.doc, transmission);
-    if (!owns(keeper, doc))
-      world.broken("sent-unowned", "member %d sends document %d without owning it", place, doc.doc);
-    alone(world, place, doc.doc, "sends");
-    if (!truth.told.empty())
-      world.broken("sent-after-end", "document %d goes out after its end was told", doc.doc);
-    if (truth.busy && doc.binding)
-      world.broken("sent-unanswered", "document %d goes out, not taken on", doc.doc);
-    int ending = world.chance().below(3);  // 0: it never ran, 1: it ran, 2: it ran and nobody knows
-    if (ending > 0 && ++truth.ran > 1 && doc.binding)
-      world.broken("ran-twice", "document %d, which is binding, runs a second time", doc.doc);
-    Act back{Act::came_back, place, world.machine(place).boots, doc.doc, number, doc.deed,
-             transmission,   ending};
-    act(world, world.now() + world.chance().between(call_least, call_most), back);
+  void send_document(World& world, int index, std::uint64_t number, int transmission) {
+    auto& node = *nodes_[index];
+    const auto& doc = node.storage.docs[number];
+    auto& expected = docs_[doc.doc];
+    world.trace_line("member %d sends document %d, transmission %d", index, doc.doc, transmission);
+    if (!owns(node, doc))
+      world.report_violation("sent-unowned", "member %d sends document %d without owning it", index, doc.doc);
+    check_sole_owner(world, index, doc.doc, "sends");
+    if (!expected.reported_end.empty())
+      world.report_violation("sent-after-end", "document %d is sent after its end was reported", doc.doc);
+    if (expected.rejected && doc.binding)
+      world.report_violation("sent-unanswered", "document %d is sent without having been accepted", doc.doc);
+    int result = world.random().uniform_below(3);  // 0: never ran, 1: ran, 2: ran, but the result is unknown
+    if (result > 0 && ++expected.run_count > 1 && doc.binding)
+      world.report_violation("ran-twice", "document %d, which is not repeatable, runs a second time",
+                             doc.doc);
+    Step call{Step::call_returned, index, world.machine(index).boots, doc.doc, number, doc.id,
+              transmission,        result};
+    schedule_step(world, world.now() + world.random().between(min_call_time, max_call_time), call);
   }
 
-  void came_back(World& world, int place, const Act& back) {
-    auto& keeper = *keepers_[place];
-    if (back.ending == 1) docs_[back.doc].delivered = true, ended(world, back.doc);
-    auto found = keeper.numbers.find(back.deed);
-    if (found == keeper.numbers.end()) return;
+  void call_returned(World& world, int index, const Step& call) {
+    auto& node = *nodes_[index];
+    if (call.result == 1) docs_[call.doc].delivered = true, record_end(world, call.doc);
+    auto found = node.numbers.find(call.id);
+    if (found == node.numbers.end()) return;
     auto number = found->second;
-    keeper.out.erase(number);
-    auto& doc = keeper.disk.docs[number];
-    if (back.ending == 1) {
-      keeper.custody->remove(back.deed);
-      keeper.drop(number);
+    node.in_flight.erase(number);
+    auto& doc = node.storage.docs[number];
+    if (call.result == 1) {
+      node.custody->remove(call.id);
+      node.drop(number);
       return;
     }
-    if (back.ending == 0)
-      doc.risks.erase(back.transmission), keeper.custody->record_never_ran(back.deed, back.transmission);
-    soon(world, place, number);
+    if (call.result == 0)
+      doc.in_doubt.erase(call.transmission), node.custody->record_never_ran(call.id, call.transmission);
+    schedule_processing(world, index, number);
   }
 
-  void tell(World& world, int place, std::uint64_t number) {
-    auto& keeper = *keepers_[place];
-    auto doc = keeper.disk.docs[number];
-    auto& truth = docs_[doc.doc];
-    world.note("member %d tells the end of document %d: %s", place, doc.doc, doc.end.c_str());
-    if (!owns(keeper, doc))
-      world.broken("told-unowned", "member %d tells the end of document %d", place, doc.doc);
-    alone(world, place, doc.doc, "ends");
-    if (!truth.told.empty() && truth.told != doc.end)
-      world.broken("two-ends", "document %d: %s, and before that %s", doc.doc, doc.end.c_str(),
-                   truth.told.c_str());
-    truth.told = doc.end;
-    ended(world, doc.doc);
-    keeper.custody->remove(doc.deed);
-    keeper.drop(number);
+  void report_end(World& world, int index, std::uint64_t number) {
+    auto& node = *nodes_[index];
+    auto doc = node.storage.docs[number];
+    auto& expected = docs_[doc.doc];
+    world.trace_line("member %d reports the end of document %d: %s", index, doc.doc, doc.end.c_str());
+    if (!owns(node, doc))
+      world.report_violation("told-unowned", "member %d reports the end of document %d without owning it",
+                             index, doc.doc);
+    check_sole_owner(world, index, doc.doc, "ends");
+    if (!expected.reported_end.empty() && expected.reported_end != doc.end)
+      world.report_violation("two-ends", "document %d: %s, and before that %s", doc.doc, doc.end.c_str(),
+                             expected.reported_end.c_str());
+    expected.reported_end = doc.end;
+    record_end(world, doc.doc);
+    node.custody->remove(doc.id);
+    node.drop(number);
   }
 
-  void ended(World& world, int number) {
-    auto& truth = docs_[number];
-    if (std::exchange(truth.settled, true)) return;
-    if (order_.samples && truth.owner_died >= 0 && quiet_)
-      samples_["ms from a kill to an owed document's end"].push_back(world.now() - truth.owner_died);
+  void record_end(World& world, int number) {
+    auto& expected = docs_[number];
+    if (std::exchange(expected.end_recorded, true)) return;
+    if (options_.samples && expected.owner_died >= 0 && kills_only_)
+      samples_["ms from a kill to an owed document's end"].push_back(world.now() - expected.owner_died);
   }
 
-  void carry_out(World& world, int place, const Custody::Actions& decided) {
-    auto& keeper = *keepers_[place];
-    for (const auto& note : decided.states_to_persist) {
-      if (note.deleted) keeper.disk.notes.erase(note.group);
-      else keeper.disk.notes[note.group] = note;
+  void apply_actions(World& world, int index, const Custody::Actions& actions) {
+    auto& node = *nodes_[index];
+    for (const auto& group_state : actions.states_to_persist) {
+      if (group_state.deleted) node.storage.group_states.erase(group_state.group);
+      else node.storage.group_states[group_state.group] = group_state;
     }
-    for (const auto& line : decided.log_lines) world.note("member %d says: %s", place, line.c_str());
-    for (const auto& deed : decided.accepted) answer(world, place, deed, true);
-    for (const auto& deed : decided.not_accepted) answer(world, place, deed, false);
-    for (const auto& [from, to] : decided.renumbered) {
-      auto found = keeper.numbers.find(from);
-      if (found == keeper.numbers.end()) continue;
+    for (const auto& line : actions.log_lines) world.trace_line("member %d logs: %s", index, line.c_str());
+    for (const auto& id : actions.accepted) answer_client(world, index, id, true);
+    for (const auto& id : actions.not_accepted) answer_client(world, index, id, false);
+    for (const auto& [from, to] : actions.renumbered) {
+      auto found = node.numbers.find(from);
+      if (found == node.numbers.end()) continue;
       auto number = found->second;
-      keeper.numbers.erase(found), keeper.numbers[to] = number, keeper.disk.docs[number].deed = to;
+      node.numbers.erase(found), node.numbers[to] = number, node.storage.docs[number].id = to;
     }
-    for (const auto& deed : decided.relinquished) {
-      auto found = keeper.numbers.find(deed);
-      if (found == keeper.numbers.end()) continue;
-      world.note("member %d lets document %d go", place, keeper.disk.docs[found->second].doc);
-      keeper.drop(found->second);
+    for (const auto& id : actions.relinquished) {
+      auto found = node.numbers.find(id);
+      if (found == node.numbers.end()) continue;
+      world.trace_line("member %d relinquishes document %d", index, node.storage.docs[found->second].doc);
+      node.drop(found->second);
     }
-    for (const auto* list : {&decided.taken_over, &decided.resumed})
-      for (const auto& papers : *list) gain(world, place, papers, list == &decided.taken_over);
-    for (const auto& [deed, transmission] : decided.cleared_transmissions) {
-      auto found = keeper.numbers.find(deed);
-      if (found != keeper.numbers.end()) call(world, place, found->second, transmission);
+    for (const auto* list : {&actions.taken_over, &actions.resumed})
+      for (const auto& state : *list) take_document(world, index, state, list == &actions.taken_over);
+    for (const auto& [id, transmission] : actions.cleared_transmissions) {
+      auto found = node.numbers.find(id);
+      if (found != node.numbers.end()) send_document(world, index, found->second, transmission);
     }
-    for (const auto& deed : decided.reportable_ends) {
-      auto found = keeper.numbers.find(deed);
-      if (found != keeper.numbers.end()) tell(world, place, found->second);
+    for (const auto& id : actions.reportable_ends) {
+      auto found = node.numbers.find(id);
+      if (found != node.numbers.end()) report_end(world, index, found->second);
     }
   }
 
-  void gain(World& world, int place, const DocumentState& papers, bool taken_over) {
-    auto& keeper = *keepers_[place];
-    if (taken_over && order_.plant == "taken-over-lost") return;
-    if (!keeper.numbers.count(papers.id)) keeper.numbers[papers.id] = ++keeper.disk.highest;
-    auto number = keeper.numbers[papers.id];
-    auto& doc = keeper.disk.docs[number];
-    doc.deed = papers.id, doc.doc = std::stoi(papers.record);
-    doc.end = papers.record.substr(papers.record.find('/') + 1), doc.ended = papers.ended;
-    doc.expiry = world.now() + papers.time_left, doc.binding = papers.replicate_before_send;
-    doc.transmissions = papers.transmission_count, doc.risks.clear();
-    for (const auto& risk : papers.in_doubt) doc.risks[risk.number] = world.now() - risk.age;
-    keeper.owed.insert(number);
-    const auto& truth = docs_[doc.doc];
-    world.note("member %d %s document %d with %zu risks", place, taken_over ? "takes over" : "regains",
-               doc.doc, papers.in_doubt.size());
-    alone(world, place, doc.doc, taken_over ? "takes over" : "regains");
-    if (taken_over && order_.samples && quiet_ && truth.owner_died >= 0)
-      samples_["ms from a kill to a take-over"].push_back(world.now() - truth.owner_died);
-    soon(world, place, number);
+  void take_document(World& world, int index, const DocumentState& state, bool taken_over) {
+    auto& node = *nodes_[index];
+    if (taken_over && options_.injected_fault == "taken-over-lost") return;
+    if (!node.numbers.count(state.id)) node.numbers[state.id] = ++node.storage.last_number;
+    auto number = node.numbers[state.id];
+    auto& doc = node.storage.docs[number];
+    doc.id = state.id, doc.doc = std::stoi(state.record);
+    doc.end = state.record.substr(state.record.find('/') + 1), doc.ended = state.ended;
+    doc.expiry = world.now() + state.time_left, doc.binding = state.replicate_before_send;
+    doc.transmissions = state.transmission_count, doc.in_doubt.clear();
+    for (const auto& in_doubt_transmission : state.in_doubt)
+      doc.in_doubt[in_doubt_transmission.number] = world.now() - in_doubt_transmission.age;
+    node.pending.insert(number);
+    const auto& expected = docs_[doc.doc];
+    world.trace_line("member %d %s document %d with %zu transmissions in doubt", index,
+                     taken_over ? "takes over" : "resumes", doc.doc, state.in_doubt.size());
+    check_sole_owner(world, index, doc.doc, taken_over ? "takes over" : "resumes");
+    if (taken_over && options_.samples && kills_only_ && expected.owner_died >= 0)
+      samples_["ms from a kill to a take-over"].push_back(world.now() - expected.owner_died);
+    schedule_processing(world, index, number);
   }
 
-  Order order_;
-  std::vector<Keeper*> keepers_;
-  std::vector<Doc> docs_;
-  std::vector<Act> acts_;
+  RunOptions options_;
+  std::vector<CustodyNode*> nodes_;
+  std::vector<ExpectedDocument> docs_;
+  std::vector<Step> steps_;
   Samples samples_;
-  bool wait_ = true, strict_ = false, quiet_ = false;
+  bool wait_for_copies_ = true, no_loss_allowed_ = false, kills_only_ = false;
 };
 
-Shape shape_of(Chance& chance, int relays) {
-  Shape shape;
-  shape.members = draw_members(chance, relays, relays > 0 ? 300 : 60);
-  shape.halls = 1 + chance.below(3);
-  shape.far = chance.between(0.5, 20);
-  shape.warm_up = 7000;
-  shape.healed = shape.warm_up + chance.between(5000, 35000);
-  shape.end = shape.healed + settled_within + 500;
-  shape.drift = 0.01;
-  shape.wall_apart = chance.odds(0.5) ? 0 : 300000;
-  shape.many_lost = chance.odds(0.4);
-  return shape;
+RunConfig draw_config(RandomSource& random, int relays) {
+  RunConfig config;
+  config.members = draw_members(random, relays, relays > 0 ? 300 : 60);
+  config.zones = 1 + random.uniform_below(3);
+  config.farthest_zone_delay = random.between(0.5, 20);
+  config.faults_from = 7000;
+  config.faults_until = config.faults_from + random.between(5000, 35000);
+  config.end = config.faults_until + settle_time + 500;
+  config.max_clock_drift = 0.01;
+  config.max_wall_clock_offset = random.bernoulli(0.5) ? 0 : 300000;
+  config.overlapping_kills = random.bernoulli(0.4);
+  return config;
 }
 
 }  // namespace
 
 Part custody_part() {
   Part part;
-  part.name = "custody", part.shape = shape_of;
-  part.make = [](const Order& order) -> std::unique_ptr<Trial> {
-    return std::make_unique<CustodyTrial>(order);
+  part.name = "custody", part.draw_config = draw_config;
+  part.make_workload = [](const RunOptions& options) -> std::unique_ptr<Workload> {
+    return std::make_unique<CustodyWorkload>(options);
   };
-  part.weather.calm = 0.05, part.weather.kills_only = 0.35, part.weather.links_only = 0.1;
-  part.weather.one_at_a_time = true, part.weather.apart = healed_after + 1000, part.weather.most = 8;
-  part.plants = {{"owns-always", "two-owners"},   {"answered-early", "answered-twice"},
-                 {"told-early", "two-ends"},      {"goes-early", "ran-twice"},
-                 {"risk-forgotten", "ran-twice"}, {"taken-over-lost", "lost"}};
+  part.fault_profile.fault_free_share = 0.05, part.fault_profile.kills_only_share = 0.35,
+  part.fault_profile.single_link_share = 0.1;
+  part.fault_profile.one_kill_at_a_time = true,
+  part.fault_profile.min_kill_gap = replica_recovery_time + 1000, part.fault_profile.max_faults = 8;
+  part.injected_faults = {{"owns-always", "two-owners"},   {"answered-early", "answered-twice"},
+                          {"told-early", "two-ends"},      {"goes-early", "ran-twice"},
+                          {"risk-forgotten", "ran-twice"}, {"taken-over-lost", "lost"}};
   return part;
 }
 
--- a/src/model/faults.cpp
+++ b/src/model/faults.cpp
@@ -1,22 +1,21 @@
-// Draws the faults of a run; faults.h says what it owns. It must never look at anything but shape, weather
-// and seed.
+// Draws the faults of a run. They depend only on its configuration, the fault profile and the seed.
 #include "model/faults.h"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 
-#include "model/chance.h"
+#include "model/random.h"
 
 namespace rockcrank::model {
 
 namespace {
 
-bool has(const std::vector<int>& list, int member) {
+bool contains(const std::vector<int>& list, int member) {
   return std::find(list.begin(), list.end(), member) != list.end();
 }
 
-std::string names(const std::vector<int>& list) {
+std::string member_list(const std::vector<int>& list) {
   if (list.empty()) return "all";
   std::string text;
   for (std::size_t i = 0; i < list.size() && i < 12; ++i) {
@@ -29,135 +28,141 @@
 
 }  // namespace
 
-bool Fault::stops(int from, int to, Millis now) const {
+bool Fault::blocks(int from, int to, Millis now) const {
   if (now < at || now >= until) return false;
-  if (kind == Kind::islands) return island[from] != island[to];
+  if (kind == Kind::partition) return partition_of[from] != partition_of[to];
   if (kind != Kind::cut) return false;
-  if (flaps > 0 && static_cast<long long>(std::floor((now - at) / flaps)) % 2 != 0) return false;
-  auto one = [&](int a, int b) { return has(who, a) && (whom.empty() || has(whom, b)); };
-  return one(from, to) || (both && one(to, from));
+  if (flap_period > 0 && static_cast<long long>(std::floor((now - at) / flap_period)) % 2 != 0) return false;
+  auto one = [&](int a, int b) { return contains(members, a) && (peers.empty() || contains(peers, b)); };
+  return one(from, to) || (both_ways && one(to, from));
 }
 
-std::string Fault::told() const {
+std::string Fault::describe() const {
   char line[240];
-  auto a = names(who), b = names(whom);
+  auto a = member_list(members), b = member_list(peers);
   auto text = [&](const char* format, auto... values) {
     std::snprintf(line, sizeof line, format, values...);
   };
   switch (kind) {
     case Kind::cut:
-      text("%.1f to %.1f: links %s of %s to %s%s%s", at, until, both ? "both ways" : "one way", a.c_str(),
-           b.c_str(), flaps > 0 ? " cut, flapping each ms: " : " cut",
-           flaps > 0 ? std::to_string(static_cast<int>(flaps)).c_str() : "");
+      text("%.1f to %.1f: links %s of %s to %s%s%s", at, until, both_ways ? "both ways" : "one way",
+           a.c_str(), b.c_str(), flap_period > 0 ? " cut, toggled at intervals of ms: " : " cut",
+           flap_period > 0 ? std::to_string(static_cast<int>(flap_period)).c_str() : "");
       break;
-    case Kind::islands: {
+    case Kind::partition: {
       std::string map;
-      for (std::size_t i = 0; i < island.size() && i < 40; ++i) map += static_cast<char>('0' + island[i]);
-      text("%.1f to %.1f: islands %s", at, until, map.c_str());
+      for (std::size_t i = 0; i < partition_of.size() && i < 40; ++i)
+        map += static_cast<char>('0' + partition_of[i]);
+      text("%.1f to %.1f: partition %s", at, until, map.c_str());
       break;
     }
     case Kind::reset: text("%.1f: connections of %s to %s reset", at, a.c_str(), b.c_str()); break;
     case Kind::kill:
-      text("%.1f: %s killed%s, again at %.1f with its folder %s", at, a.c_str(),
-           abrupt ? " without a sign" : "", until,
-           folder == Folder::kept    ? "kept"
-           : folder == Folder::older ? "an older one"
-                                     : "emptied");
+      text("%.1f: %s killed%s, restarted at %.1f with its storage %s", at, a.c_str(),
+           abrupt ? " abruptly" : "", until,
+           storage == StorageOnRestart::kept       ? "kept"
+           : storage == StorageOnRestart::outdated ? "outdated"
+                                                   : "emptied");
       break;
-    case Kind::stall: text("%.1f to %.1f: %s stands still", at, until, a.c_str()); break;
-    case Kind::twin: text("%.1f to %.1f: a second process of %s", at, until, a.c_str()); break;
-    case Kind::slow:
-      text("%.1f to %.1f: %.1f ms longer from %s to %s", at, until, by, a.c_str(), b.c_str());
+    case Kind::stall: text("%.1f to %.1f: %s stalled", at, until, a.c_str()); break;
+    case Kind::duplicate_process: text("%.1f to %.1f: duplicate process of %s", at, until, a.c_str()); break;
+    case Kind::delay:
+      text("%.1f to %.1f: %.1f ms longer from %s to %s", at, until, delta, a.c_str(), b.c_str());
       break;
-    case Kind::wall: text("%.1f: wall clock of %s jumps by %.1f", at, a.c_str(), by); break;
+    case Kind::wall_clock_jump: text("%.1f: wall clock of %s jumps by %.1f", at, a.c_str(), delta); break;
   }
   return line;
 }
 
-std::vector<Fault> draw_faults(const Shape& shape, const Weather& weather, std::uint64_t seed) {
+std::vector<Fault> draw_faults(const RunConfig& config, const FaultProfile& profile, std::uint64_t seed) {
   using Kind = Fault::Kind;
-  Chance chance(mixed(seed, 0xfa));
+  RandomSource random(hash_values(seed, 0xfa));
   std::vector<Fault> faults;
-  if (chance.odds(weather.calm)) return faults;
-  if (weather.mass > 0 && chance.odds(weather.mass)) {
-    auto at = chance.between(shape.warm_up, shape.healed - 2500);
-    for (int member = 0; member < shape.members; ++member) {
-      if (!chance.odds(0.7)) continue;
+  if (random.bernoulli(profile.fault_free_share)) return faults;
+  if (profile.mass_restart_share > 0 && random.bernoulli(profile.mass_restart_share)) {
+    auto at = random.between(config.faults_from, config.faults_until - 2500);
+    for (int member = 0; member < config.members; ++member) {
+      if (!random.bernoulli(0.7)) continue;
       Fault kill;
-      kill.kind = Kind::kill, kill.at = at + chance.between(0, 500),
-      kill.until = kill.at + chance.between(200, 1500);
-      kill.who = {member}, kill.folder = Folder::emptied;
+      kill.kind = Kind::kill, kill.at = at + random.between(0, 500),
+      kill.until = kill.at + random.between(200, 1500);
+      kill.members = {member}, kill.storage = StorageOnRestart::emptied;
       faults.push_back(kill);
     }
     return faults;
   }
-  auto sort = chance.share();
-  bool links_only = sort < weather.links_only;
-  bool kills_only = !links_only && sort < weather.links_only + weather.kills_only && weather.kills;
-  int n = shape.members;
-  int count = 1 + chance.below(std::max(1, weather.most));
-  auto other = [&](int than) { return (than + 1 + chance.below(n - 1)) % n; };
-  // One fault of a process may not begin while another of the same process lasts.
+  auto category = random.uniform();
+  bool links_only = category < profile.single_link_share;
+  bool kills_only =
+      !links_only && category < profile.single_link_share + profile.kills_only_share && profile.kills;
+  int n = config.members;
+  int count = 1 + random.uniform_below(std::max(1, profile.max_faults));
+  auto other = [&](int member) { return (member + 1 + random.uniform_below(n - 1)) % n; };
+  // Faults of the same process don't overlap.
   std::vector<Millis> free_from(n, 0);
-  Millis kill_free = 0;
+  Millis next_kill_from = 0;
   std::vector<Millis> starts;
-  for (int i = 0; i < count; ++i) starts.push_back(chance.between(shape.warm_up, shape.healed - 500));
+  for (int i = 0; i < count; ++i)
+    starts.push_back(random.between(config.faults_from, config.faults_until - 500));
   std::sort(starts.begin(), starts.end());
   for (auto start : starts) {
     Fault fault;
     fault.at = start;
-    auto most = shape.healed - fault.at;
-    // Short and long ones alike often.
-    fault.until = fault.at + std::min(most, 50 * std::pow(most / 50, chance.share()));
-    int member = chance.below(n);
-    fault.who = {member};
-    double drawn = kills_only ? 0.7 : chance.share();
+    auto longest = config.faults_until - fault.at;
+    // Log-uniform, so that short and long faults are equally frequent.
+    fault.until = fault.at + std::min(longest, 50 * std::pow(longest / 50, random.uniform()));
+    int member = random.uniform_below(n);
+    fault.members = {member};
+    double drawn = kills_only ? 0.7 : random.uniform();
     if (links_only) {
-      fault.kind = Kind::cut, fault.whom = {other(member)}, fault.both = chance.odds(0.5);
-      if (chance.odds(0.3)) fault.flaps = chance.between(20, 1500);
-      // One pair only: a second broken link could leave a member without a way round.
+      fault.kind = Kind::cut, fault.peers = {other(member)}, fault.both_ways = random.bernoulli(0.5);
+      if (random.bernoulli(0.3)) fault.flap_period = random.between(20, 1500);
+      // One pair only: a second broken link could leave a member without an indirect path.
       faults.assign(1, fault);
       continue;
     }
     if (drawn < 0.30) {
-      fault.kind = Kind::cut, fault.both = chance.odds(0.5);
-      if (chance.odds(0.4)) fault.whom = {other(member)};
-      else if (n > 3 && chance.odds(0.5))
-        for (int k = 1 + chance.below(n / 2); k > 0; --k) {
+      fault.kind = Kind::cut, fault.both_ways = random.bernoulli(0.5);
+      if (random.bernoulli(0.4)) fault.peers = {other(member)};
+      else if (n > 3 && random.bernoulli(0.5))
+        for (int k = 1 + random.uniform_below(n / 2); k > 0; --k) {
           int to = other(member);
-          if (!has(fault.whom, to)) fault.whom.push_back(to);
+          if (!contains(fault.peers, to)) fault.peers.push_back(to);
         }
-      if (chance.odds(0.3)) fault.flaps = chance.between(20, 1500);
+      if (random.bernoulli(0.3)) fault.flap_period = random.between(20, 1500);
     } else if (drawn < 0.40) {
-      fault.kind = Kind::islands, fault.who.clear();
-      int islands = 2 + chance.below(2);
-      for (int k = 0; k < n; ++k) fault.island.push_back(static_cast<std::uint8_t>(chance.below(islands)));
+      fault.kind = Kind::partition, fault.members.clear();
+      int partition_count = 2 + random.uniform_below(2);
+      for (int k = 0; k < n; ++k)
+        fault.partition_of.push_back(static_cast<std::uint8_t>(random.uniform_below(partition_count)));
     } else if (drawn < 0.48) {
       fault.kind = Kind::reset;
-      if (chance.odds(0.5)) fault.whom = {other(member)};
+      if (random.bernoulli(0.5)) fault.peers = {other(member)};
     } else if (drawn < 0.56) {
-      fault.kind = Kind::slow, fault.by = chance.between(5, 400);
-      if (chance.odds(0.5)) fault.whom = {other(member)};
+      fault.kind = Kind::delay, fault.delta = random.between(5, 400);
+      if (random.bernoulli(0.5)) fault.peers = {other(member)};
     } else {
-      bool kill = weather.kills && (drawn < 0.80 || !weather.stalls);
-      if (drawn > 0.97 && weather.twins) fault.kind = Kind::twin;
-      else if (drawn > 0.94 && weather.walls) {
-        fault.kind = Kind::wall, fault.by = chance.between(-300000, 300000);
+      bool kill = profile.kills && (drawn < 0.80 || !profile.stalls);
+      if (drawn > 0.97 && profile.duplicate_processes) fault.kind = Kind::duplicate_process;
+      else if (drawn > 0.94 && profile.wall_clock_jumps) {
+        fault.kind = Kind::wall_clock_jump, fault.delta = random.between(-300000, 300000);
         faults.push_back(fault);
         continue;
       } else if (kill) {
-        fault.kind = Kind::kill, fault.abrupt = chance.odds(0.3);
-        auto folder = chance.share();
-        fault.folder = folder < 0.6 ? Folder::kept : folder < 0.8 ? Folder::emptied : Folder::older;
-        if (chance.odds(weather.for_good)) fault.until = -1;
-      } else if (weather.stalls) fault.kind = Kind::stall;
+        fault.kind = Kind::kill, fault.abrupt = random.bernoulli(0.3);
+        auto folder = random.uniform();
+        fault.storage = folder < 0.6   ? StorageOnRestart::kept
+                        : folder < 0.8 ? StorageOnRestart::emptied
+                                       : StorageOnRestart::outdated;
+        if (random.bernoulli(profile.permanent_kill_share)) fault.until = -1;
+      } else if (profile.stalls) fault.kind = Kind::stall;
       else continue;
       if (fault.at < free_from[member]) continue;
-      if (fault.kind == Kind::kill && weather.one_at_a_time && !shape.many_lost) {
-        if (fault.at < kill_free) continue;
-        kill_free = (fault.until < 0 ? fault.at : fault.until) + weather.apart;
+      if (fault.kind == Kind::kill && profile.one_kill_at_a_time && !config.overlapping_kills) {
+        if (fault.at < next_kill_from) continue;
+        next_kill_from = (fault.until < 0 ? fault.at : fault.until) + profile.min_kill_gap;
       }
-      free_from[member] = fault.until < 0 ? shape.end : fault.until + 100;
+      free_from[member] = fault.until < 0 ? config.end : fault.until + 100;
     }
     faults.push_back(fault);
   }
--- a/src/model/membership.cpp
+++ b/src/model/membership.cpp
@@ -1,12 +1,12 @@
-// The runs of membership, and what must hold of it: no false death where nothing but links between two
-// members breaks, none that lasts after healing, a death found out in time, a stalled process told that it
-// was given up on, and never more than so many messages a member and second. It must never ask the module how
-// it concludes.
+// Workload of membership. Invariants: no member is falsely declared dead where only the link between two
+// members breaks, no false death remains after the faults end, deaths are detected in time, a stalled process
+// is told that it was declared dead, and the message rate per member is bounded. The checks use only the
+// module's outputs.
 #include <algorithm>
 #include <cmath>
 #include <map>
 
-#include "model/fellow.h"
+#include "model/member_process.h"
 #include "model/part.h"
 
 namespace rockcrank::model {
@@ -16,155 +16,164 @@
 using fleet::Incarnation;
 using fleet::MemberState;
 
-constexpr Millis formed_within = 5000;    // from the last start until all hold all to be alive
-constexpr Millis settled_within = 20000;  // from the end of the last fault until all are right again
-constexpr int beats_most = 20;            // messages a member and second
-// From a death until every other member knows it, where nothing else fails: rounds of pings and of gossip
-// grow with the logarithm of the members.
-Millis found_within(int members) { return 4000 + 1000 * std::log2(members); }
+constexpr Millis formation_time = 5000;  // from the last start until every member considers all others alive
+constexpr Millis settle_time = 20000;    // from the end of the last fault until all views are correct again
+constexpr int max_messages_per_second = 20;  // per member
+// Bound from a death until every other member knows of it, where nothing else fails. Ping and gossip rounds
+// grow with the logarithm of the number of members.
+Millis detection_bound(int members) { return 4000 + 1000 * std::log2(members); }
 
-// What the checks hear, altered: each plant is a fault of a module that a check must find.
-class Planted : public fleet::Membership {
+// Wraps a membership module and alters its outputs: each injected fault has to be found by a check.
+class FaultInjectingMembership : public fleet::Membership {
  public:
-  Planted(std::unique_ptr<fleet::Membership> real, std::string plant, const fleet::Roster& roster,
-          fleet::MemberId self)
-      : real_(std::move(real)), plant_(std::move(plant)), first_(roster[0].id), self_(self) {}
+  FaultInjectingMembership(std::unique_ptr<fleet::Membership> real, std::string injected_fault,
+                           const fleet::Roster& roster, fleet::MemberId self)
+      : real_(std::move(real)),
+        injected_fault_(std::move(injected_fault)),
+        first_(roster[0].id),
+        self_(self) {}
   void begin_turn(Millis now) override {
-    if (since_ < 0) since_ = now;
+    if (first_turn_at_ < 0) first_turn_at_ = now;
     now_ = now;
     real_->begin_turn(now);
   }
   void on_message(fleet::MemberId from, const fleet::MembershipMessage& message) override {
     real_->on_message(from, message);
   }
-  void on_link_change(fleet::MemberId peer, Incarnation life, bool up) override {
-    real_->on_link_change(peer, life, up);
+  void on_link_change(fleet::MemberId peer, Incarnation incarnation, bool up) override {
+    real_->on_link_change(peer, incarnation, up);
   }
   Actions decide() override {
-    auto decided = real_->decide();
-    if (plant_ == "deaths-unseen")
-      std::erase_if(decided.changes, [](const auto& change) { return change.state == MemberState::dead; });
-    if (plant_ == "false-death" && !done_ && now_ - since_ > 6000 && self_ != first_)
-      done_ = true, decided.changes.push_back({first_, real_->incarnation(first_), MemberState::dead});
-    if (plant_ == "chatter" && !decided.sends.empty())
-      for (int i = 0; i < 30; ++i) decided.sends.push_back(decided.sends[0]);
-    if (plant_ == "not-told") decided.declared_dead = false;
-    if (plant_ == "old-life")
-      for (auto& change : decided.changes)
-        change.incarnation.number = std::min(change.incarnation.number, oldest(change));
-    return decided;
+    auto actions = real_->decide();
+    if (injected_fault_ == "deaths-unseen")
+      std::erase_if(actions.changes, [](const auto& change) { return change.state == MemberState::dead; });
+    if (injected_fault_ == "false-death" && !injected_ && now_ - first_turn_at_ > 6000 && self_ != first_)
+      injected_ = true, actions.changes.push_back({first_, real_->incarnation(first_), MemberState::dead});
+    if (injected_fault_ == "chatter" && !actions.sends.empty())
+      for (int i = 0; i < 30; ++i) actions.sends.push_back(actions.sends[0]);
+    if (injected_fault_ == "not-told") actions.declared_dead = false;
+    if (injected_fault_ == "old-life")
+      for (auto& change : actions.changes)
+        change.incarnation.number = std::min(change.incarnation.number, first_incarnation(change));
+    return actions;
   }
   MemberState state(fleet::MemberId member) const override { return real_->state(member); }
   Incarnation incarnation(fleet::MemberId member) const override { return real_->incarnation(member); }
   std::vector<fleet::MemberId> alive() const override { return real_->alive(); }
 
  private:
-  std::uint64_t oldest(const Change& change) {
-    return lives_.emplace(change.member, change.incarnation.number).first->second;
+  std::uint64_t first_incarnation(const Change& change) {
+    return first_incarnations_.emplace(change.member, change.incarnation.number).first->second;
   }
   std::unique_ptr<fleet::Membership> real_;
-  std::string plant_;
+  std::string injected_fault_;
   fleet::MemberId first_, self_;
-  Millis now_ = 0, since_ = -1;
-  bool done_ = false;
-  std::map<fleet::MemberId, std::uint64_t> lives_;
+  Millis now_ = 0, first_turn_at_ = -1;
+  bool injected_ = false;
+  std::map<fleet::MemberId, std::uint64_t> first_incarnations_;
 };
 
-class MembershipTrial : public Trial {
+class MembershipWorkload : public Workload {
  public:
-  explicit MembershipTrial(const Order& order) : order_(order) {}
+  explicit MembershipWorkload(const RunOptions& options) : options_(options) {}
 
   void begin(World& world) override {
     views_.resize(world.machines());
-    for (auto& view : views_) view.held.resize(world.shape().members);
-    second_.resize(world.machines());
-    quiet_ = std::all_of(world.faults().begin(), world.faults().end(),
-                         [](const Fault& fault) { return fault.kind == Fault::Kind::kill; });
-    one_link_ = world.faults().size() == 1 && world.faults()[0].kind == Fault::Kind::cut &&
-                world.faults()[0].who.size() == 1 && world.faults()[0].whom.size() == 1;
+    for (auto& view : views_) view.peer_views.resize(world.config().members);
+    message_windows_.resize(world.machines());
+    kills_only_ = std::all_of(world.faults().begin(), world.faults().end(),
+                              [](const Fault& fault) { return fault.kind == Fault::Kind::kill; });
+    single_link_cut_ = world.faults().size() == 1 && world.faults()[0].kind == Fault::Kind::cut &&
+                       world.faults()[0].members.size() == 1 && world.faults()[0].peers.size() == 1;
   }
 
-  std::unique_ptr<Modules> boot(World& world, int place, const std::any&, Millis) override {
-    auto& machine = world.machine(place);
+  std::unique_ptr<Process> boot(World& world, int index, const std::any&, Millis) override {
+    auto& machine = world.machine(index);
     auto self = world.roster()[machine.member].id;
-    views_[place].held.assign(world.shape().members, {});
-    views_[place].told_given_up = false;
-    auto membership = fleet::Membership::make(world.roster(), self, machine.life,
-                                              mixed(world.seed(), 0x41, place, machine.boots));
-    if (!order_.plant.empty())
-      membership = std::make_unique<Planted>(std::move(membership), order_.plant, world.roster(), self);
-    auto fellow = std::make_unique<Fellow>(std::move(membership), nullptr);
-    fellow->on_decided = [this, &world, place](const fleet::Membership::Actions& decided) {
-      seen(world, place, decided);
+    views_[index].peer_views.assign(world.config().members, {});
+    views_[index].told_declared_dead = false;
+    auto membership = fleet::Membership::make(world.roster(), self, machine.incarnation,
+                                              hash_values(world.seed(), 0x41, index, machine.boots));
+    if (!options_.injected_fault.empty())
+      membership = std::make_unique<FaultInjectingMembership>(std::move(membership), options_.injected_fault,
+                                                              world.roster(), self);
+    auto process = std::make_unique<MemberProcess>(std::move(membership), nullptr);
+    process->on_actions = [this, &world, index](const fleet::Membership::Actions& actions) {
+      check_actions(world, index, actions);
     };
     last_start_ = world.now();
-    return fellow;
+    return process;
   }
 
-  void killed(World& world, int place) override {
-    died_[world.machine(place).member] = {world.now(), world.machine(place).life, {}};
+  void on_process_end(World& world, int index) override {
+    deaths_[world.machine(index).member] = {world.now(), world.machine(index).incarnation, {}};
   }
 
-  void watch(World& world) override {
-    // A stall that others noticed must be told to the one that stalled; looked at when it runs on.
+  void check(World& world) override {
+    // A process that others declared dead during a stall has to be told; evaluated when it resumes.
     for (int i = 0; i < world.machines(); ++i) {
       auto state = world.machine(i).state;
       if (state == Machine::State::stalled) views_[i].stalled = true;
       else if (state == Machine::State::running && views_[i].stalled) {
         views_[i].stalled = false;
-        if (held_dead_by(world, i) > 0) views_[i].owed_word = true, views_[i].told_given_up = false;
-      } else if (state == Machine::State::off) views_[i].stalled = views_[i].owed_word = false;
+        if (count_holding_dead(world, i) > 0)
+          views_[i].must_be_told = true, views_[i].told_declared_dead = false;
+      } else if (state == Machine::State::off) views_[i].stalled = views_[i].must_be_told = false;
     }
-    for (const auto& [member, death] : died_) {
-      if (!quiet_ || world.running(member) || world.now() < death.at + found_within(world.shape().members))
+    for (const auto& [member, death] : deaths_) {
+      if (!kills_only_ || world.is_running(member) ||
+          world.now() < death.at + detection_bound(world.config().members))
         continue;
       for (int i = 0; i < world.machines(); ++i)
-        if (world.running(i) && i != member && world.machine(i).booted < death.at &&
-            views_[i].held[member].condition != MemberState::dead &&
-            views_[i].held[member].life <= death.life)
-          world.broken("death-found", "member %d ended at %.0f, and member %d holds it to be %s", member,
-                       death.at, i, name(views_[i].held[member].condition));
+        if (world.is_running(i) && i != member && world.machine(i).booted < death.at &&
+            views_[i].peer_views[member].peer_state != MemberState::dead &&
+            views_[i].peer_views[member].incarnation <= death.incarnation)
+          world.report_violation("death-found",
+                                 "member %d ended at %.0f, and member %d still considers it %s", member,
+                                 death.at, i, state_name(views_[i].peer_views[member].peer_state));
     }
-    if (world.faults().empty() && world.now() > last_start_ + formed_within) all_right(world, "formed");
+    if (world.faults().empty() && world.now() > last_start_ + formation_time) check_views(world, "formed");
   }
 
-  void finish(World& world) override {
-    if (world.shape().end >= world.shape().healed + settled_within) all_right(world, "healed");
+  void check_final(World& world) override {
+    if (world.config().end >= world.config().faults_until + settle_time) check_views(world, "healed");
     for (int i = 0; i < world.machines(); ++i)
-      if (world.running(i) && views_[i].owed_word && !views_[i].told_given_up)
-        world.broken("told-given-up", "member %d stalled, others held it to be dead, and it was not told", i);
-    if (!order_.samples) return;
-    auto size = std::to_string(world.shape().members) + " members";
+      if (world.is_running(i) && views_[i].must_be_told && !views_[i].told_declared_dead)
+        world.report_violation("told-given-up",
+                               "member %d stalled, was declared dead by others, and was not told", i);
+    if (!options_.samples) return;
+    auto size = std::to_string(world.config().members) + " members";
     double seconds = world.now() / 1000;
-    (*order_.samples)["messages a member and second, " + size].push_back(
-        static_cast<double>(world.messages[0]) / world.shape().members / seconds);
-    (*order_.samples)["bytes a member and second, " + size].push_back(static_cast<double>(world.bytes[0]) /
-                                                                      world.shape().members / seconds);
-    for (auto time : found_)
-      (*order_.samples)["ms until one member knows of a death, " + size].push_back(time);
-    for (const auto& [member, death] : died_)
-      if (quiet_ && !death.known.empty() && static_cast<int>(death.known.size()) >= world.shape().members - 2)
-        (*order_.samples)["ms until all know of a death, " + size].push_back(
+    (*options_.samples)["messages a member and second, " + size].push_back(
+        static_cast<double>(world.messages[0]) / world.config().members / seconds);
+    (*options_.samples)["bytes a member and second, " + size].push_back(static_cast<double>(world.bytes[0]) /
+                                                                        world.config().members / seconds);
+    for (auto time : detection_times_)
+      (*options_.samples)["ms until one member knows of a death, " + size].push_back(time);
+    for (const auto& [member, death] : deaths_)
+      if (kills_only_ && !death.known.empty() &&
+          static_cast<int>(death.known.size()) >= world.config().members - 2)
+        (*options_.samples)["ms until all know of a death, " + size].push_back(
             *std::max_element(death.known.begin(), death.known.end()));
   }
 
  private:
-  struct Held {
-    MemberState condition = MemberState::unknown;
-    Incarnation life;
+  struct PeerView {
+    MemberState peer_state = MemberState::unknown;
+    Incarnation incarnation;
   };
   struct View {
-    std::vector<Held> held;
-    bool stalled = false, owed_word = false, told_given_up = false;
+    std::vector<PeerView> peer_views;
+    bool stalled = false, must_be_told = false, told_declared_dead = false;
   };
   struct Death {
     Millis at = 0;
-    Incarnation life;
+    Incarnation incarnation;
     std::vector<Millis> known;
   };
 
-  static const char* name(MemberState condition) {
-    switch (condition) {
+  static const char* state_name(MemberState peer_state) {
+    switch (peer_state) {
       case MemberState::unknown: return "unknown";
       case MemberState::alive: return "alive";
       case MemberState::suspect: return "suspect";
@@ -173,109 +182,117 @@
     return "?";
   }
 
-  int held_dead_by(World& world, int place) {
-    int count = 0, member = world.machine(place).member;
+  int count_holding_dead(World& world, int index) {
+    int count = 0, member = world.machine(index).member;
     for (int i = 0; i < world.machines(); ++i)
-      count += world.running(i) && i != place && views_[i].held[member].condition == MemberState::dead &&
-               views_[i].held[member].life == world.machine(place).life && world.reaches(i, place);
+      count += world.is_running(i) && i != index &&
+               views_[i].peer_views[member].peer_state == MemberState::dead &&
+               views_[i].peer_views[member].incarnation == world.machine(index).incarnation &&
+               world.can_reach(i, index);
     return count;
   }
 
-  void seen(World& world, int place, const fleet::Membership::Actions& decided) {
-    auto& view = views_[place];
-    for (const auto& line : decided.log) world.note("member %d says: %s", place, line.c_str());
-    if (decided.declared_dead) {
-      view.told_given_up = true;
-      world.note("member %d hears that it was given up on", place);
+  void check_actions(World& world, int index, const fleet::Membership::Actions& actions) {
+    auto& view = views_[index];
+    for (const auto& line : actions.log) world.trace_line("member %d logs: %s", index, line.c_str());
+    if (actions.declared_dead) {
+      view.told_declared_dead = true;
+      world.trace_line("member %d learns that it was declared dead", index);
     }
-    for (const auto& change : decided.changes) {
-      int member = world.place_of(change.member);
-      view.held[member] = {change.state, change.incarnation};
-      world.note("member %d holds %d to be %s in life %llu", place, member, name(change.state),
-                 static_cast<unsigned long long>(change.incarnation.number));
+    for (const auto& change : actions.changes) {
+      int member = world.index_of(change.member);
+      view.peer_views[member] = {change.state, change.incarnation};
+      world.trace_line("member %d considers %d %s in incarnation %llu", index, member,
+                       state_name(change.state), static_cast<unsigned long long>(change.incarnation.number));
       if (change.state != MemberState::dead) continue;
       const auto& machine = world.machine(member);
-      if (quiet_ || one_link_) {
-        if (machine.state != Machine::State::off && machine.life == change.incarnation)
-          world.broken("false-death", "member %d holds member %d to be dead, which runs, with %s", place,
-                       member, one_link_ ? "one link broken" : "no link broken");
-        auto death = died_.find(member);
-        if (death != died_.end() && death->second.life == change.incarnation &&
-            world.machine(place).booted < death->second.at)
+      if (kills_only_ || single_link_cut_) {
+        if (machine.state != Machine::State::off && machine.incarnation == change.incarnation)
+          world.report_violation("false-death",
+                                 "member %d considers member %d dead, which is running, with %s", index,
+                                 member, single_link_cut_ ? "one link broken" : "no link broken");
+        auto death = deaths_.find(member);
+        if (death != deaths_.end() && death->second.incarnation == change.incarnation &&
+            world.machine(index).booted < death->second.at)
           death->second.known.push_back(world.now() - death->second.at),
-              found_.push_back(world.now() - death->second.at);
+              detection_times_.push_back(world.now() - death->second.at);
       }
     }
-    auto& second = second_[place];
-    if (world.now() - second.first >= 1000) second = {world.now(), 0};
-    second.second += static_cast<int>(decided.sends.size());
-    if (second.second > beats_most)
-      world.broken("messages", "member %d sends %d messages of membership within a second", place,
-                   second.second);
+    auto& message_window = message_windows_[index];
+    if (world.now() - message_window.first >= 1000) message_window = {world.now(), 0};
+    message_window.second += static_cast<int>(actions.sends.size());
+    if (message_window.second > max_messages_per_second)
+      world.report_violation("messages", "member %d sends %d membership messages within a second", index,
+                             message_window.second);
   }
 
-  // Each that runs holds all that run to be alive, in the life they are in, and the others to be dead.
-  void all_right(World& world, const char* check) {
+  // Checks that each running member considers all running members alive in their current incarnation, and the
+  // others dead.
+  void check_views(World& world, const char* check) {
     for (int i = 0; i < world.machines(); ++i) {
-      if (!world.running(i)) continue;
-      auto& fellow = static_cast<Fellow&>(*world.machine(i).modules);
-      for (int j = 0; j < world.shape().members; ++j) {
+      if (!world.is_running(i)) continue;
+      auto& process = static_cast<MemberProcess&>(*world.machine(i).process);
+      for (int j = 0; j < world.config().members; ++j) {
         if (j == world.machine(i).member) continue;
-        const auto& held = views_[i].held[j];
-        bool runs = world.running(j);
-        auto says = fellow.membership().state(world.roster()[j].id);
-        if (says != held.condition)
-          world.broken("told-changes", "member %d answers %s of %d, and told of %s last", i, name(says), j,
-                       name(held.condition));
-        if (runs && (held.condition != MemberState::alive || held.life != world.machine(j).life))
-          world.broken(check, "member %d holds member %d, which runs in life %llu, to be %s in life %llu", i,
-                       j, static_cast<unsigned long long>(world.machine(j).life.number), name(held.condition),
-                       static_cast<unsigned long long>(held.life.number));
-        if (!runs && held.condition != MemberState::dead && held.condition != MemberState::unknown)
-          world.broken(check, "member %d holds member %d, which ended, to be %s", i, j, name(held.condition));
+        const auto& held = views_[i].peer_views[j];
+        bool is_running = world.is_running(j);
+        auto reported = process.membership().state(world.roster()[j].id);
+        if (reported != held.peer_state)
+          world.report_violation("told-changes",
+                                 "member %d returns state %s for member %d, and last reported %s", i,
+                                 state_name(reported), j, state_name(held.peer_state));
+        if (is_running &&
+            (held.peer_state != MemberState::alive || held.incarnation != world.machine(j).incarnation))
+          world.report_violation(
+              check, "member %d considers member %d, which runs in incarnation %llu, %s in incarnation %llu",
+              i, j, static_cast<unsigned long long>(world.machine(j).incarnation.number),
+              state_name(held.peer_state), static_cast<unsigned long long>(held.incarnation.number));
+        if (!is_running && held.peer_state != MemberState::dead && held.peer_state != MemberState::unknown)
+          world.report_violation(check, "member %d considers member %d, which ended, %s", i, j,
+                                 state_name(held.peer_state));
       }
     }
   }
 
-  Order order_;
+  RunOptions options_;
   std::vector<View> views_;
-  std::vector<std::pair<Millis, int>> second_;
-  std::map<int, Death> died_;
-  std::vector<double> found_;
-  bool quiet_ = false, one_link_ = false;
+  std::vector<std::pair<Millis, int>> message_windows_;
+  std::map<int, Death> deaths_;
+  std::vector<double> detection_times_;
+  bool kills_only_ = false, single_link_cut_ = false;
   Millis last_start_ = 0;
 };
 
-Shape shape_of(Chance& chance, int relays) {
-  Shape shape;
-  shape.members = draw_members(chance, relays);
-  shape.halls = 1 + chance.below(4);
-  shape.far = chance.between(0.5, 40);
-  shape.warm_up = 6000;
-  shape.healed = shape.warm_up + chance.between(2000, shape.members > 60 ? 8000 : 25000);
-  shape.end = shape.healed + settled_within + 500;
-  shape.datagrams = chance.odds(0.25);
-  shape.lost = chance.odds(0.5) ? 0 : chance.between(0, 0.05);
-  shape.doubled = chance.odds(0.5) ? 0 : chance.between(0, 0.1);
-  shape.drift = 0.01;
-  shape.wall_apart = chance.odds(0.5) ? 0 : 300000;
-  return shape;
+RunConfig draw_config(RandomSource& random, int relays) {
+  RunConfig config;
+  config.members = draw_members(random, relays);
+  config.zones = 1 + random.uniform_below(4);
+  config.farthest_zone_delay = random.between(0.5, 40);
+  config.faults_from = 6000;
+  config.faults_until = config.faults_from + random.between(2000, config.members > 60 ? 8000 : 25000);
+  config.end = config.faults_until + settle_time + 500;
+  config.datagrams = random.bernoulli(0.25);
+  config.loss_rate = random.bernoulli(0.5) ? 0 : random.between(0, 0.05);
+  config.duplication_rate = random.bernoulli(0.5) ? 0 : random.between(0, 0.1);
+  config.max_clock_drift = 0.01;
+  config.max_wall_clock_offset = random.bernoulli(0.5) ? 0 : 300000;
+  return config;
 }
 
 }  // namespace
 
 Part membership_part() {
   Part part;
-  part.name = "membership", part.shape = shape_of;
-  part.make = [](const Order& order) -> std::unique_ptr<Trial> {
-    return std::make_unique<MembershipTrial>(order);
+  part.name = "membership", part.draw_config = draw_config;
+  part.make_workload = [](const RunOptions& options) -> std::unique_ptr<Workload> {
+    return std::make_unique<MembershipWorkload>(options);
   };
-  part.weather.walls = true;
-  part.plants = {{"false-death", "false-death"},
-                 {"deaths-unseen", "death-found"},
-                 {"chatter", "messages"},
-                 {"not-told", "told-given-up"},
-                 {"old-life", "healed"}};
+  part.fault_profile.wall_clock_jumps = true;
+  part.injected_faults = {{"false-death", "false-death"},
+                          {"deaths-unseen", "death-found"},
+                          {"chatter", "messages"},
+                          {"not-told", "told-given-up"},
+                          {"old-life", "healed"}};
   return part;
 }
 
--- a/src/model/part.h
+++ b/src/model/part.h
@@ -1,5 +1,5 @@
-// Owns the list of parts that the model runs, and what a run of one leaves. It must never hold a part's
-// checks: each part has a file of its own.
+// The parts of the fleet that the simulation runs, each with its workload, fault profile and injected faults.
+// The checks of a part are in its own source file.
 #pragma once
 
 #include <cstdint>
@@ -12,33 +12,35 @@
 
 namespace rockcrank::model {
 
-// Samples by name: "detection, 5 members" and the like.
+// Samples by figure name, such as "detection, 5 members".
 using Samples = std::map<std::string, std::vector<double>>;
 
-struct Order {
-  int relays = 0;     // 0: drawn
-  std::string plant;  // a fault in what a check looks at, by name, so that the check must find it
+struct RunOptions {
+  int relays = 0;  // 0: drawn from the seed
+  std::string
+      injected_fault;  // name of a fault injected into what a check observes; the check has to find it
   Samples* samples = nullptr;
 };
 
 struct Part {
   std::string name;
-  Shape (*shape)(Chance& chance, int relays);
-  Weather weather;
-  std::unique_ptr<Trial> (*make)(const Order& order);
-  std::vector<std::pair<std::string, std::string>> plants;  // and the check that must find each
+  RunConfig (*draw_config)(RandomSource& random, int relays);
+  FaultProfile fault_profile;
+  std::unique_ptr<Workload> (*make_workload)(const RunOptions& options);
+  std::vector<std::pair<std::string, std::string>>
+      injected_faults;  // name, and the check that has to find it
 };
 
 const std::vector<Part>& parts();
 
-// Each part's own, in its file.
+// Each is defined in the source file of its part.
 Part membership_part();
 Part registers_part();
 Part custody_part();
 Part warm_part();
 Part latest_part();
 
-// Members of a run: few in most, many in some.
-int draw_members(Chance& chance, int relays, int most = 300);
+// Draws the number of members of a run: small in most runs, large in some.
+int draw_members(RandomSource& random, int relays, int most = 300);
 
 }  // namespace rockcrank::model
--- a/src/model/registers.cpp
+++ b/src/model/registers.cpp
@@ -1,14 +1,14 @@
-// The runs of the shared state, and what must hold of it: news known everywhere in time, waits never longer
-// than some relay was really told and never shorter than known, copies alike after healing, the last order of
-// staff kept, a restart that keeps what it knew, and never more than so many messages a member and second.
-// What is looked at is what a decision module would hear; it must never ask the module how it settles copies.
+// Workload of the shared registers. Invariants: news reaches every member in time, a retry-after wait is
+// never longer than a relay was told and never shorter than known, copies agree after the faults end, the
+// last operator order wins, a restart keeps what was known, and the message rate per member is bounded. The
+// checks observe what a decision module would receive, and don't look at how copies are merged.
 #include <algorithm>
 #include <cmath>
 #include <map>
 #include <set>
 #include <tuple>
 
-#include "model/fellow.h"
+#include "model/member_process.h"
 #include "model/part.h"
 
 namespace rockcrank::model {
@@ -19,585 +19,607 @@
 using fleet::RegisterKind;
 using fleet::RegisterRecord;
 
-constexpr Millis settled_within = 20000;
-constexpr Millis formed = 6000;             // a fleet that begins is not measured before
-constexpr Millis rounding = 2;              // turns, and counts of milliseconds
-constexpr int messages_most = 20;           // a member and second, with membership's, beyond the few
-constexpr int few = 8, messages_each = 24;  // with so few others: for each of them
-constexpr Millis spread_large = 1000, spread_datagrams = 6000;
+constexpr Millis settle_time = 20000;
+constexpr Millis formation_time = 6000;                     // no samples before: the fleet is still forming
+constexpr Millis rounding = 2;                              // delay of turns, and rounding to milliseconds
+constexpr int max_messages_per_second = 20;                 // per member, above small_fleet peers
+constexpr int small_fleet = 8, max_messages_per_peer = 24;  // up to this many peers, the bound is per peer
+constexpr Millis max_spread_large = 1000, max_spread_datagrams = 6000;
 
-struct Tell {
+struct Observation {
   Millis at = 0;
-  int place = 0;
-  RegisterKind matter{};
+  int index = 0;
+  RegisterKind kind{};
   int subject = 0;
-  Millis span = 0;
+  Millis duration = 0;
   RouteState state{};
-  double limit = 0;
-  bool out = false;
+  double rate_limit = 0;
+  bool offline = false;
 };
 
 struct Saved {
-  std::vector<RegisterRecord> words;
-  Millis at = 0;  // true time
+  std::vector<RegisterRecord> records;
+  Millis at = 0;  // virtual time
 };
 
 std::string subject_name(int subject) { return "ep" + std::to_string(subject); }
 
-// What a decision module would know, and the modules below it.
-class Sharer : public Upper {
+// The state that a decision module would have, and the registers module.
+class RegistersNode : public PartModules {
  public:
   struct Route {
-    Millis own_end = 0, learned_end = 0;  // of a told wait, on this process's clock
+    Millis own_end = 0, learned_end = 0;  // of a retry-after wait, on this process's clock
     RouteState state = RouteState::healthy;
-    Millis seen_at = -1e12;
-    double limit = 0;
-    Millis met_at = -1e12;
+    Millis state_seen_at = -1e12;
+    double rate_limit = 0;
+    Millis limit_seen_at = -1e12;
   };
 
-  Sharer(std::unique_ptr<fleet::Registers> registers, std::string plant, int place)
-      : registers_(std::move(registers)), plant_(std::move(plant)), place_(place) {}
+  RegistersNode(std::unique_ptr<fleet::Registers> registers, std::string injected_fault, int index)
+      : registers_(std::move(registers)), injected_fault_(std::move(injected_fault)), index_(index) {}
 
   std::map<int, Route> routes;
-  std::map<std::string, bool> outs;
+  std::map<std::string, bool> offline_endpoints;
   std::vector<RegisterRecord> restored;
-  Millis gone_for = -1;
-  std::function<void(std::uint64_t)> on_work;
-  std::function<void(const fleet::Registers::Actions&)> on_decided;
+  Millis downtime = -1;
+  std::function<void(std::uint64_t)> on_task;
+  std::function<void(const fleet::Registers::Actions&)> on_actions;
   fleet::Registers& registers() { return *registers_; }
   Millis now() const { return now_; }
 
-  void begin(Millis now) override {
+  void begin_turn(Millis now) override {
     now_ = now;
     registers_->begin_turn(now);
-    if (gone_for < 0) return;
-    if (plant_ != "restart-forgets") registers_->restore(restored, gone_for);
-    gone_for = -1;
+    if (downtime < 0) return;
+    if (injected_fault_ != "restart-forgets") registers_->restore(restored, downtime);
+    downtime = -1;
   }
-  void alive(const std::vector<MemberId>& members) override { registers_->set_alive(members); }
-  void linked(MemberId peer, fleet::Incarnation, bool up) override { registers_->on_link_change(peer, up); }
-  void heard(MemberId from, const Payload& message) override {
-    if (const auto* words = std::get_if<fleet::RegisterMessage>(&message))
-      registers_->on_message(from, *words);
+  void on_alive_members(const std::vector<MemberId>& members) override { registers_->set_alive(members); }
+  void on_link_change(MemberId peer, fleet::Incarnation, bool up) override {
+    registers_->on_link_change(peer, up);
   }
-  void work(std::uint64_t what) override { on_work(what); }
-  void tell(int subject) {
+  void on_message(MemberId from, const Payload& message) override {
+    if (const auto* records = std::get_if<fleet::RegisterMessage>(&message))
+      registers_->on_message(from, *records);
+  }
+  void run_task(std::uint64_t task) override { on_task(task); }
+  void publish_route(int subject) {
     const auto& route = routes[subject];
     RouteStatus own;
     own.route = static_cast<std::uint64_t>(subject), own.per_endpoint = subject % 2;
     own.retry_after_left = std::max(0.0, std::max(route.own_end, route.learned_end) - now_);
-    own.state = route.state, own.state_age = now_ - route.seen_at;
+    own.state = route.state, own.state_age = now_ - route.state_seen_at;
     own.rate_before_outage = route.state == RouteState::healthy ? 0 : 5;
-    own.rate_limit = route.limit, own.remaining_share = 0.5, own.limit_age = now_ - route.met_at;
+    own.rate_limit = route.rate_limit, own.remaining_share = 0.5, own.limit_age = now_ - route.limit_seen_at;
     registers_->publish(own);
   }
   Millis decide(Outbox& outbox) override {
-    auto decided = registers_->decide();
-    if (plant_ == "news-lost" && place_ == 0) decided.route_statuses.clear();
-    for (auto& known : decided.route_statuses) {
-      if (plant_ == "wait-longer" && known.retry_after_left > 0) known.retry_after_left += 3000;
-      if (plant_ == "wait-shorter" && known.retry_after_left > 0) known.retry_after_left /= 2;
+    auto actions = registers_->decide();
+    if (injected_fault_ == "news-lost" && index_ == 0) actions.route_statuses.clear();
+    for (auto& known : actions.route_statuses) {
+      if (injected_fault_ == "wait-longer" && known.retry_after_left > 0) known.retry_after_left += 3000;
+      if (injected_fault_ == "wait-shorter" && known.retry_after_left > 0) known.retry_after_left /= 2;
       auto& route = routes[static_cast<int>(known.route)];
       route.learned_end = known.retry_after_left > 0 ? now_ + known.retry_after_left : 0;
-      if (now_ - known.state_age > route.seen_at)
-        route.state = known.state, route.seen_at = now_ - known.state_age;
-      if (known.rate_limit > 0 && now_ - known.limit_age > route.met_at)
-        route.limit = known.rate_limit, route.met_at = now_ - known.limit_age;
+      if (now_ - known.state_age > route.state_seen_at)
+        route.state = known.state, route.state_seen_at = now_ - known.state_age;
+      if (known.rate_limit > 0 && now_ - known.limit_age > route.limit_seen_at)
+        route.rate_limit = known.rate_limit, route.limit_seen_at = now_ - known.limit_age;
     }
-    for (const auto& order : decided.offline_orders)
-      outs[order.endpoint] = order.offline != (plant_ == "order-turned");
-    if (plant_ == "register-chatter" && !decided.sends.empty())
-      for (int i = 0; i < 300; ++i) decided.sends.push_back(decided.sends[0]);
-    on_decided(decided);
-    for (auto& send : decided.sends) outbox.emplace_back(send.to, std::move(send.message));
-    return decided.wake_in;
+    for (const auto& order : actions.offline_orders)
+      offline_endpoints[order.endpoint] = order.offline != (injected_fault_ == "order-turned");
+    if (injected_fault_ == "register-chatter" && !actions.sends.empty())
+      for (int i = 0; i < 300; ++i) actions.sends.push_back(actions.sends[0]);
+    on_actions(actions);
+    for (auto& send : actions.sends) outbox.emplace_back(send.to, std::move(send.message));
+    return actions.wake_in;
   }
   bool caught_up() const {
-    return plant_ == "never-caught-up" ? false : plant_ == "caught-up-early" || registers_->caught_up();
+    return injected_fault_ == "never-caught-up"
+               ? false
+               : injected_fault_ == "caught-up-early" || registers_->caught_up();
   }
   std::vector<RegisterRecord> all() const {
-    auto words = registers_->all_records();
-    if (plant_ == "copies-differ" && place_ == 0 && !words.empty()) words.back().version.counter += 1;
-    return words;
+    auto records = registers_->all_records();
+    if (injected_fault_ == "copies-differ" && index_ == 0 && !records.empty())
+      records.back().version.counter += 1;
+    return records;
   }
 
  private:
   std::unique_ptr<fleet::Registers> registers_;
-  std::string plant_;
-  int place_;
+  std::string injected_fault_;
+  int index_;
   Millis now_ = 0;
 };
 
-class RegistersTrial : public Trial {
+class RegistersWorkload : public Workload {
  public:
-  explicit RegistersTrial(const Order& order) : order_(order) {}
+  explicit RegistersWorkload(const RunOptions& options) : options_(options) {}
 
   void begin(World& world) override {
     views_.resize(world.machines()), last_turn_.resize(world.machines(), 0);
-    drift_ = world.shape().drift;
-    quiet_ = world.faults().empty();
+    drift_ = world.config().max_clock_drift;
+    fault_free_ = world.faults().empty();
     for (const auto& fault : world.faults())
-      if (fault.kind == Fault::Kind::slow) slow_ += fault.by;
-    Chance chance(mixed(world.seed(), 0x43));
-    const auto& shape = world.shape();
-    int subjects = 1 + chance.below(20), endpoints = 1 + chance.below(4);
-    // In quiet runs each is told of again only when the last news is surely known.
-    Millis apart = quiet_ ? 2 * spread_bound(world) + 1000 : 0;
+      if (fault.kind == Fault::Kind::delay) total_delay_ += fault.delta;
+    RandomSource random(hash_values(world.seed(), 0x43));
+    const auto& config = world.config();
+    int subjects = 1 + random.uniform_below(20), endpoints = 1 + random.uniform_below(4);
+    // In runs without faults, a subject changes again only when the last change is surely known everywhere.
+    Millis min_gap = fault_free_ ? 2 * max_spread(world) + 1000 : 0;
     std::map<std::pair<int, int>, Millis> free_from;
-    int count = 10 + chance.below(shape.members > 60 ? 30 : 80);
+    int count = 10 + random.uniform_below(config.members > 60 ? 30 : 80);
     std::vector<Millis> times;
-    for (int i = 0; i < count; ++i) times.push_back(chance.between(formed, shape.healed));
+    for (int i = 0; i < count; ++i) times.push_back(random.between(formation_time, config.faults_until));
     std::sort(times.begin(), times.end());
     for (auto at : times) {
-      Tell tell;
-      tell.at = at, tell.place = chance.below(shape.members);
-      auto drawn = chance.share();
-      tell.matter = drawn < 0.5    ? RegisterKind::retry_after
-                    : drawn < 0.75 ? RegisterKind::outage
-                    : drawn < 0.9  ? RegisterKind::offline
-                                   : RegisterKind::rate_limit;
-      tell.subject = chance.below(tell.matter == RegisterKind::offline ? endpoints : subjects);
-      auto& free = free_from[{static_cast<int>(tell.matter), tell.subject}];
+      Observation observation;
+      observation.at = at, observation.index = random.uniform_below(config.members);
+      auto drawn = random.uniform();
+      observation.kind = drawn < 0.5    ? RegisterKind::retry_after
+                         : drawn < 0.75 ? RegisterKind::outage
+                         : drawn < 0.9  ? RegisterKind::offline
+                                        : RegisterKind::rate_limit;
+      observation.subject =
+          random.uniform_below(observation.kind == RegisterKind::offline ? endpoints : subjects);
+      auto& free = free_from[{static_cast<int>(observation.kind), observation.subject}];
       if (at < free) continue;
-      free = at + apart;
-      tell.span = std::pow(10, chance.between(2, 4.7));
-      tell.state = static_cast<RouteState>(chance.below(3));
-      tell.limit = chance.between(10, 1000);
-      tell.out = chance.odds(0.5);
-      tells_.push_back(tell);
-      world.call(at, tells_.size() - 1);
+      free = at + min_gap;
+      observation.duration = std::pow(10, random.between(2, 4.7));
+      observation.state = static_cast<RouteState>(random.uniform_below(3));
+      observation.rate_limit = random.between(10, 1000);
+      observation.offline = random.bernoulli(0.5);
+      observations_.push_back(observation);
+      world.schedule(at, observations_.size() - 1);
     }
   }
 
-  std::unique_ptr<Modules> boot(World& world, int place, const std::any& folder, Millis) override {
-    auto& machine = world.machine(place);
+  std::unique_ptr<Process> boot(World& world, int index, const std::any& stored, Millis) override {
+    auto& machine = world.machine(index);
     auto self = world.roster()[machine.member].id;
-    auto& view = views_[place];
-    view = View();
+    auto& view = views_[index];
+    view = NodeView();
     view.booted = world.now();
-    auto seed = mixed(world.seed(), 0x42, place, machine.boots);
-    auto registers = fleet::Registers::make(self, machine.life, world.shape().members, seed);
-    auto sharer = std::make_unique<Sharer>(std::move(registers), order_.plant, place);
-    if (const auto* saved = std::any_cast<Saved>(&folder)) {
-      sharer->restored = saved->words, sharer->gone_for = world.now() - saved->at;
-      for (const auto& word : saved->words)
-        if (word.kind == RegisterKind::retry_after) {
-          auto end = saved->at + (word.duration - word.age) / machine.rate;
-          auto& kept = view.kept[subject_of(word)];
-          kept = std::max(kept, end);
+    auto seed = hash_values(world.seed(), 0x42, index, machine.boots);
+    auto registers = fleet::Registers::make(self, machine.incarnation, world.config().members, seed);
+    auto node = std::make_unique<RegistersNode>(std::move(registers), options_.injected_fault, index);
+    if (const auto* saved = std::any_cast<Saved>(&stored)) {
+      node->restored = saved->records, node->downtime = world.now() - saved->at;
+      for (const auto& record : saved->records)
+        if (record.kind == RegisterKind::retry_after) {
+          auto end = saved->at + (record.duration - record.age) / machine.rate;
+          auto& restored_waits = view.restored_waits[subject_of(record)];
+          restored_waits = std::max(restored_waits, end);
         }
       view.saved_at = saved->at;
     }
-    // What all others know now is what it must know once it says that it has caught up.
+    // Once it reports that it has caught up, it has to know the waits that all others know now.
     for (auto& [subject, truth] : waits_) {
-      auto end = truth_end(subject);
-      bool by_all = end > world.now();
+      auto end = latest_wait_end(subject);
+      bool known_by_all = end > world.now();
       for (int i = 0; i < world.machines(); ++i)
-        if (i != place && world.running(i))
-          by_all = by_all && known_end(world, i, subject) >= end - slack(end, 0);
-      if (by_all) view.must_know[subject] = end;
+        if (i != index && world.is_running(i))
+          known_by_all = known_by_all && known_end(world, i, subject) >= end - drift_allowance(end, 0);
+      if (known_by_all) view.must_know[subject] = end;
     }
-    auto* raw = sharer.get();
-    view.sharer = raw;
-    raw->on_work = [this, &world, place](std::uint64_t what) { tell(world, place, tells_[what]); };
-    raw->on_decided = [this, &world, place](const auto& decided) { seen(world, place, decided); };
-    auto seed_below = mixed(world.seed(), 0x41, place, machine.boots);
-    return std::make_unique<Fellow>(fleet::Membership::make(world.roster(), self, machine.life, seed_below),
-                                    std::move(sharer));
+    auto* raw = node.get();
+    view.node = raw;
+    raw->on_task = [this, &world, index](std::uint64_t task) {
+      apply_observation(world, index, observations_[task]);
+    };
+    raw->on_actions = [this, &world, index](const auto& actions) { check_actions(world, index, actions); };
+    auto membership_seed = hash_values(world.seed(), 0x41, index, machine.boots);
+    return std::make_unique<MemberProcess>(
+        fleet::Membership::make(world.roster(), self, machine.incarnation, membership_seed), std::move(node));
   }
 
-  std::any folder(World& world, int place) override {
-    return Saved{views_[place].sharer->registers().all_records(),
-                 last_turn_[place] > 0 ? last_turn_[place] : world.now()};
+  std::any storage_snapshot(World& world, int index) override {
+    return Saved{views_[index].node->registers().all_records(),
+                 last_turn_[index] > 0 ? last_turn_[index] : world.now()};
   }
-  void killed(World&, int place) override { views_[place].sharer = nullptr; }
+  void on_process_end(World&, int index) override { views_[index].node = nullptr; }
 
-  void event(World& world, std::uint64_t what) override {
-    if (world.running(tells_[what].place)) world.give(tells_[what].place, what);
+  void on_timer(World& world, std::uint64_t task) override {
+    if (world.is_running(observations_[task].index)) world.enqueue_task(observations_[task].index, task);
   }
 
-  void watch(World& world) override {
-    for (auto it = open_.begin(); it != open_.end();) {
+  void check(World& world) override {
+    for (auto it = pending_news_.begin(); it != pending_news_.end();) {
       auto& news = *it;
-      // A process that began after the news was told is caught up with, not told.
-      std::erase_if(news.owed, [&](int i) { return !world.running(i) || views_[i].booted > news.at; });
-      if (news.owed.empty()) {
-        it = open_.erase(it);
+      // A process that started after the news gets it by catching up instead.
+      std::erase_if(news.uninformed,
+                    [&](int i) { return !world.is_running(i) || views_[i].booted > news.at; });
+      if (news.uninformed.empty()) {
+        it = pending_news_.erase(it);
         continue;
       }
-      if (quiet_ && world.now() > news.at + spread_bound(world))
-        world.broken("spread", "member %d does not know after %.0f ms of %s, told to member %d",
-                     *news.owed.begin(), world.now() - news.at, news.name.c_str(), news.place);
-      // Something newer on the same subject has been told: this one need not be heard of any more.
+      if (fault_free_ && world.now() > news.at + max_spread(world))
+        world.report_violation("spread", "member %d does not know after %.0f ms of %s, received by member %d",
+                               *news.uninformed.begin(), world.now() - news.at, news.name.c_str(),
+                               news.index);
+      // Newer news on the same subject replaces this one.
       bool dropped = news.until > 0 && world.now() > news.until;
-      it = dropped ? open_.erase(it) : std::next(it);
+      it = dropped ? pending_news_.erase(it) : std::next(it);
     }
     for (int i = 0; i < world.machines(); ++i) {
       auto& view = views_[i];
-      if (!world.running(i) || !view.sharer || view.caught_up || !view.sharer->caught_up()) continue;
+      if (!world.is_running(i) || !view.node || view.caught_up || !view.node->caught_up()) continue;
       view.caught_up = true;
-      if (order_.samples && view.booted > formed)
+      if (options_.samples && view.booted > formation_time)
         samples_["ms from a start until caught up"].push_back(world.now() - view.booted);
       for (const auto& [subject, end] : view.must_know)
-        if (end > world.now() + 200 && known_end(world, i, subject) < end - slack(end, 0))
-          world.broken("caught-up-early",
-                       "member %d says it has caught up and does not know a wait that all knew", i);
+        if (end > world.now() + 200 && known_end(world, i, subject) < end - drift_allowance(end, 0))
+          world.report_violation(
+              "caught-up-early",
+              "member %d reports that it has caught up and does not know of a wait that all others knew", i);
     }
   }
 
-  void finish(World& world) override {
+  void check_final(World& world) override {
     std::map<int, std::pair<int, Millis>> ends;
     std::map<std::string, bool> first;
-    int first_place = -1;
+    int first_index = -1;
     for (int i = 0; i < world.machines(); ++i) {
-      if (!world.running(i)) continue;
-      auto& sharer = *views_[i].sharer;
-      if (!sharer.caught_up()) world.broken("caught-up", "member %d is not caught up at the end", i);
-      orders_right(world, i);
-      auto words = told(sharer.all());
-      if (first_place < 0) first = words, first_place = i;
-      for (const auto* one : {&words, &first})
+      if (!world.is_running(i)) continue;
+      auto& node = *views_[i].node;
+      if (!node.caught_up()) world.report_violation("caught-up", "member %d has not caught up at the end", i);
+      check_offline_orders(world, i);
+      auto records = comparable_lines(node.all());
+      if (first_index < 0) first = records, first_index = i;
+      for (const auto* one : {&records, &first})
         for (const auto& [line, ending] : *one)
-          if (!ending && !(one == &words ? first : words).count(line))
-            world.broken("converge", "members %d and %d hold different copies, as of %s", first_place, i,
-                         line.c_str());
+          if (!ending && !(one == &records ? first : records).count(line))
+            world.report_violation("converge", "members %d and %d have different copies, such as %s",
+                                   first_index, i, line.c_str());
       for (const auto& [subject, truth] : waits_) {
-        auto end = truth_end(subject);
+        auto end = latest_wait_end(subject);
         if (end <= world.now() + 500 || !still_known(world, subject, end)) continue;
-        if (known_end(world, i, subject) < end - slack(end, 0))
-          world.broken("wait-known", "member %d does not know of a wait on %d for %.0f ms more, %.0f known",
-                       i, subject, end - world.now(), known_end(world, i, subject) - world.now());
+        if (known_end(world, i, subject) < end - drift_allowance(end, 0))
+          world.report_violation("wait-known",
+                                 "member %d does not know of a wait on %d for %.0f ms more, %.0f known", i,
+                                 subject, end - world.now(), known_end(world, i, subject) - world.now());
       }
-      for (const auto& [endpoint, out] : sharer.outs)
-        if (out != views_[first_place].sharer->outs[endpoint])
-          world.broken("converge", "members %d and %d hold different orders on %s", first_place, i,
-                       endpoint.c_str());
+      for (const auto& [endpoint, offline] : node.offline_endpoints)
+        if (offline != views_[first_index].node->offline_endpoints[endpoint])
+          world.report_violation("converge", "members %d and %d have different orders on %s", first_index, i,
+                                 endpoint.c_str());
     }
-    if (!order_.samples) return;
-    auto size = kind(world);
+    if (!options_.samples) return;
+    auto size = sample_suffix(world);
     for (auto& [name, list] : samples_) {
-      auto& all = (*order_.samples)[name + ", " + size];
+      auto& all = (*options_.samples)[name + ", " + size];
       all.insert(all.end(), list.begin(), list.end());
     }
-    double seconds = world.now() / 1000, members = world.shape().members;
-    (*order_.samples)["messages a member and second, membership and shared state, " + size].push_back(
+    double seconds = world.now() / 1000, members = world.config().members;
+    (*options_.samples)["messages a member and second, membership and shared state, " + size].push_back(
         static_cast<double>(world.messages[0] + world.messages[1]) / members / seconds);
-    (*order_.samples)["bytes a member and second, shared state, " + size].push_back(
+    (*options_.samples)["bytes a member and second, shared state, " + size].push_back(
         static_cast<double>(world.bytes[1]) / members / seconds);
   }
 
  private:
-  struct View {
-    Sharer* sharer = nullptr;
+  struct NodeView {
+    RegistersNode* node = nullptr;
     Millis booted = 0, saved_at = 0;
-    std::map<int, Millis> kept, must_know;
+    std::map<int, Millis> restored_waits, must_know;
     bool caught_up = false, first_turn = true;
-    Millis second = 0;
-    int sent = 0;
+    Millis window_start = 0;
+    int messages_in_window = 0;
   };
   struct Wait {
     Millis at = 0, end = 0;
-    int place = 0;
+    int index = 0;
   };
-  struct News {
+  struct PendingNews {
     Millis at = 0, until = 0, end = 0;
-    Tell tell;
-    int place = 0;
-    std::set<int> owed;
+    Observation observation;
+    int index = 0;
+    std::set<int> uninformed;
     std::string name;
   };
-  struct Given {  // an order of staff
+  struct OfflineOrder {  // of an operator
     Millis at = 0;
-    int place = 0;
-    bool out = false;
-    std::set<std::size_t> over;  // earlier ones that it goes over, as its giver held them
+    int index = 0;
+    bool offline = false;
+    std::set<std::size_t> superseded;  // earlier orders that it replaces, as known at the member that got it
   };
 
-  static int subject_of(const RegisterRecord& word) {
-    return static_cast<int>(std::stoull(word.name.substr(1), nullptr, 16));
+  static int subject_of(const RegisterRecord& record) {
+    return static_cast<int>(std::stoull(record.name.substr(1), nullptr, 16));
   }
-  std::string kind(const World& world) const {
-    const auto& shape = world.shape();
-    auto text = std::to_string(shape.members) + " members";
-    if (shape.datagrams) {
+  std::string sample_suffix(const World& world) const {
+    const auto& config = world.config();
+    auto text = std::to_string(config.members) + " members";
+    if (config.datagrams) {
       char lost[40];
-      std::snprintf(lost, sizeof lost, ", datagrams, %.0f in 100 lost", 100 * shape.lost);
+      std::snprintf(lost, sizeof lost, ", datagrams, %.0f in 100 lost", 100 * config.loss_rate);
       text += lost;
     }
-    if (!quiet_) text += ", under faults";
+    if (!fault_free_) text += ", under faults";
     return text;
   }
-  Millis spread_bound(const World& world) const {
-    if (world.shape().datagrams) return spread_datagrams;
-    if (world.shape().members <= 5) return 2 * world.longest_crossing() + 50;
-    return spread_large;
+  Millis max_spread(const World& world) const {
+    if (world.config().datagrams) return max_spread_datagrams;
+    if (world.config().members <= 5) return 2 * world.max_latency() + 50;
+    return max_spread_large;
   }
-  // By how much an end may be off after so many hops: clocks that run apart.
-  Millis slack(Millis end, Millis begun) const { return rounding + drift_ * (end - begun); }
-  // By how much later than told a wait may end elsewhere: a hop cannot tell its crossing from time passed.
-  Millis late_most(const World& world) const {
-    auto hops = std::log2(world.shape().members) + 3;
-    return rounding + hops * (world.longest_crossing() + 0.6) + slow_ + (world.shape().spikes > 0 ? 60 : 0);
+  // By how much a wait's end may be off because clock rates differ.
+  Millis drift_allowance(Millis end, Millis begun) const { return rounding + drift_ * (end - begun); }
+  // By how much later a wait may end at other members: a receiver can't account for the latency of each hop.
+  Millis max_lateness(const World& world) const {
+    auto hops = std::log2(world.config().members) + 3;
+    return rounding + hops * (world.max_latency() + 0.6) + total_delay_ +
+           (world.config().delay_spike_rate > 0 ? 60 : 0);
   }
-  Millis truth_end(int subject) const {
+  Millis latest_wait_end(int subject) const {
     Millis end = 0;
     auto found = waits_.find(subject);
     if (found != waits_.end())
       for (const auto& wait : found->second) end = std::max(end, wait.end);
     return end;
   }
-  Millis known_end(const World& world, int place, int subject) {
-    auto* sharer = views_[place].sharer;
-    if (!sharer) return 0;
-    auto found = sharer->routes.find(subject);
-    if (found == sharer->routes.end()) return 0;
+  Millis known_end(const World& world, int index, int subject) {
+    auto* node = views_[index].node;
+    if (!node) return 0;
+    auto found = node->routes.find(subject);
+    if (found == node->routes.end()) return 0;
     auto end = std::max(found->second.own_end, found->second.learned_end);
-    return world.now() + (end - world.local(place)) / const_cast<World&>(world).machine(place).rate;
+    return world.now() + (end - world.local_time(index)) / const_cast<World&>(world).machine(index).rate;
   }
-  // The wait was told to a process that lived on for long enough to tell of it, or somebody knows it now.
+  // Whether any running member knows of the wait.
   bool still_known(World& world, int subject, Millis end) {
     for (int i = 0; i < world.machines(); ++i)
-      if (world.running(i) && known_end(world, i, subject) >= end - slack(end, 0)) return true;
+      if (world.is_running(i) && known_end(world, i, subject) >= end - drift_allowance(end, 0)) return true;
     return false;
   }
 
-  void tell(World& world, int place, const Tell& tell) {
-    auto& sharer = *views_[place].sharer;
-    auto& route = sharer.routes[tell.subject];
-    News news;
-    news.at = world.now(), news.tell = tell, news.place = place;
+  void apply_observation(World& world, int index, const Observation& observation) {
+    auto& node = *views_[index].node;
+    auto& route = node.routes[observation.subject];
+    PendingNews news;
+    news.at = world.now(), news.observation = observation, news.index = index;
     char name[80];
-    auto called = [&](const char* format, auto... values) {
+    auto set_name = [&](const char* format, auto... values) {
       std::snprintf(name, sizeof name, format, values...);
     };
-    switch (tell.matter) {
+    switch (observation.kind) {
       case RegisterKind::retry_after: {
-        news.end = world.now() + tell.span / world.machine(place).rate;
-        bool later = news.end > truth_end(tell.subject) + 2 * slack(news.end, world.now());
-        waits_[tell.subject].push_back({world.now(), news.end, place});
-        route.own_end = std::max(route.own_end, sharer.now() + tell.span);
-        called("a wait of %.0f ms on %d", tell.span, tell.subject);
-        sharer.tell(tell.subject);
+        news.end = world.now() + observation.duration / world.machine(index).rate;
+        bool later =
+            news.end > latest_wait_end(observation.subject) + 2 * drift_allowance(news.end, world.now());
+        waits_[observation.subject].push_back({world.now(), news.end, index});
+        route.own_end = std::max(route.own_end, node.now() + observation.duration);
+        set_name("a wait of %.0f ms on %d", observation.duration, observation.subject);
+        node.publish_route(observation.subject);
         if (!later) news.at = -1;
         news.until = news.end - 50;
         break;
       }
       case RegisterKind::outage:
-        called("state %d of %d", static_cast<int>(tell.state), tell.subject);
-        if (route.state == tell.state) return;
-        route.state = tell.state, route.seen_at = sharer.now();
-        sharer.tell(tell.subject);
-        news.until = next_of(tell);
+        set_name("state %d of %d", static_cast<int>(observation.state), observation.subject);
+        if (route.state == observation.state) return;
+        route.state = observation.state, route.state_seen_at = node.now();
+        node.publish_route(observation.subject);
+        news.until = next_observation_time(observation);
         break;
       case RegisterKind::rate_limit:
-        called("a limit of %.0f on %d", tell.limit, tell.subject);
-        route.limit = tell.limit, route.met_at = sharer.now();
-        sharer.tell(tell.subject);
+        set_name("a limit of %.0f on %d", observation.rate_limit, observation.subject);
+        route.rate_limit = observation.rate_limit, route.limit_seen_at = node.now();
+        node.publish_route(observation.subject);
         news.at = -1;
         break;
       case RegisterKind::offline: {
-        auto endpoint = subject_name(tell.subject);
-        called("order %s of %s", tell.out ? "out" : "back", endpoint.c_str());
-        bool new_here = sharer.outs.find(endpoint) == sharer.outs.end() || sharer.outs[endpoint] != tell.out;
-        auto before = version_of(sharer, endpoint);
-        sharer.outs[endpoint] = tell.out;
-        sharer.registers().publish_offline(endpoint, tell.out);
-        auto after = version_of(sharer, endpoint);
+        auto endpoint = subject_name(observation.subject);
+        set_name("order %s of %s", observation.offline ? "out" : "back", endpoint.c_str());
+        bool new_here = node.offline_endpoints.find(endpoint) == node.offline_endpoints.end() ||
+                        node.offline_endpoints[endpoint] != observation.offline;
+        auto before = version_of(node, endpoint);
+        node.offline_endpoints[endpoint] = observation.offline;
+        node.registers().publish_offline(endpoint, observation.offline);
+        auto after = version_of(node, endpoint);
         if (after != before || !new_here) {
-          Given given{world.now(), place, tell.out, {}};
-          auto held = by_version_.find(before);
-          if (held != by_version_.end()) {
-            given.over = given_[held->second].over;
-            given.over.insert(held->second);
+          OfflineOrder order{world.now(), index, observation.offline, {}};
+          auto held = order_by_version_.find(before);
+          if (held != order_by_version_.end()) {
+            order.superseded = offline_orders_[held->second].superseded;
+            order.superseded.insert(held->second);
           }
           if (after != before) {
-            by_version_[after] = given_.size();
-            subject_of_order_.push_back(endpoint);
-            given_.push_back(std::move(given));
+            order_by_version_[after] = offline_orders_.size();
+            endpoint_of_order_.push_back(endpoint);
+            offline_orders_.push_back(std::move(order));
           }
         } else
-          world.broken("order-taken", "member %d was given %s, and holds no newer word on it", place, name);
+          world.report_violation("order-taken", "member %d received %s, and has no newer record of it", index,
+                                 name);
         if (!new_here) return;
-        news.until = next_of(tell);
+        news.until = next_observation_time(observation);
         break;
       }
     }
-    world.note("member %d is told %s", place, name);
+    world.trace_line("member %d receives %s", index, name);
     if (news.at < 0) return;
     news.name = name;
     for (int i = 0; i < world.machines(); ++i)
-      if (i != place && world.running(i)) news.owed.insert(i);
-    if (!news.owed.empty()) open_.push_back(std::move(news));
+      if (i != index && world.is_running(i)) news.uninformed.insert(i);
+    if (!news.uninformed.empty()) pending_news_.push_back(std::move(news));
   }
 
-  // When the same subject is told of again.
-  Millis next_of(const Tell& tell) const {
-    for (const auto& other : tells_)
-      if (other.at > tell.at && other.matter == tell.matter && other.subject == tell.subject) return other.at;
+  // When the same subject changes next; 0: never.
+  Millis next_observation_time(const Observation& observation) const {
+    for (const auto& other : observations_)
+      if (other.at > observation.at && other.kind == observation.kind && other.subject == observation.subject)
+        return other.at;
     return 0;
   }
 
-  using Held = std::tuple<std::string, fleet::Version, fleet::Incarnation>;
-  static Held version_of(Sharer& sharer, const std::string& endpoint) {
-    for (const auto& word : sharer.registers().all_records())
-      if (word.kind == RegisterKind::offline && word.name == endpoint)
-        return {endpoint, word.version, word.incarnation};
+  using OrderVersion = std::tuple<std::string, fleet::Version, fleet::Incarnation>;
+  static OrderVersion version_of(RegistersNode& node, const std::string& endpoint) {
+    for (const auto& record : node.registers().all_records())
+      if (record.kind == RegisterKind::offline && record.name == endpoint)
+        return {endpoint, record.version, record.incarnation};
     return {endpoint, {}, {}};
   }
 
-  void seen(World& world, int place, const fleet::Registers::Actions& decided) {
-    auto& view = views_[place];
-    auto& sharer = *view.sharer;
-    last_turn_[place] = world.now();
-    for (const auto& line : decided.log) world.note("member %d says: %s", place, line.c_str());
-    for (const auto& line : decided.conflicts) {
-      world.note("member %d names as differing: %s", place, line.c_str());
-      if (quiet_) world.broken("differing", "member %d: %s", place, line.c_str());
+  void check_actions(World& world, int index, const fleet::Registers::Actions& actions) {
+    auto& view = views_[index];
+    auto& node = *view.node;
+    last_turn_[index] = world.now();
+    for (const auto& line : actions.log) world.trace_line("member %d logs: %s", index, line.c_str());
+    for (const auto& line : actions.conflicts) {
+      world.trace_line("member %d reports a conflict: %s", index, line.c_str());
+      if (fault_free_) world.report_violation("differing", "member %d: %s", index, line.c_str());
     }
-    for (const auto& known : decided.route_statuses) {
+    for (const auto& known : actions.route_statuses) {
       int subject = static_cast<int>(known.route);
-      if (sharer.routes[subject].learned_end <= 0) continue;
-      auto end =
-          world.now() + (sharer.routes[subject].learned_end - sharer.now()) / world.machine(place).rate;
-      auto truth = truth_end(subject);
-      world.note("member %d holds a wait on %d to end at %.0f", place, subject, end);
+      if (node.routes[subject].learned_end <= 0) continue;
+      auto end = world.now() + (node.routes[subject].learned_end - node.now()) / world.machine(index).rate;
+      auto truth = latest_wait_end(subject);
+      world.trace_line("member %d expects a wait on %d to end at %.0f", index, subject, end);
       auto begun = waits_.count(subject) ? waits_[subject][0].at : 0;
-      if (order_.samples) samples_["ms by which a wait ends late elsewhere"].push_back(end - truth);
-      if (end > truth + late_most(world) + slack(truth, begun))
-        world.broken("wait-longer", "member %d holds a wait on %d that ends %.0f ms later than any was told",
-                     place, subject, end - truth);
+      if (options_.samples) samples_["ms by which a wait ends late elsewhere"].push_back(end - truth);
+      if (end > truth + max_lateness(world) + drift_allowance(truth, begun))
+        world.report_violation("wait-longer",
+                               "member %d expects a wait on %d to end %.0f ms later than any received", index,
+                               subject, end - truth);
     }
     if (view.first_turn) {
       view.first_turn = false;
-      for (const auto& [subject, end] : view.kept) {
-        auto known = known_end(world, place, subject);
+      for (const auto& [subject, end] : view.restored_waits) {
+        auto known = known_end(world, index, subject);
         if (end < world.now() + 5) continue;
-        if (std::abs(known - end) > slack(end, view.saved_at) + rounding)
-          world.broken("kept", "member %d began again and its wait on %d ends %.0f ms off", place, subject,
-                       known - end);
+        if (std::abs(known - end) > drift_allowance(end, view.saved_at) + rounding)
+          world.report_violation("kept", "member %d restarted and its wait on %d ends %.0f ms off", index,
+                                 subject, known - end);
       }
     }
-    for (auto& news : open_) {
-      if (!news.owed.count(place)) continue;
-      const auto& tell = news.tell;
-      bool knows = tell.matter == RegisterKind::retry_after
-                       ? known_end(world, place, tell.subject) >= news.end - slack(news.end, news.at)
-                   : tell.matter == RegisterKind::outage
-                       ? sharer.routes[tell.subject].state == tell.state
-                       : sharer.outs.count(subject_name(tell.subject)) &&
-                             sharer.outs[subject_name(tell.subject)] == tell.out;
+    for (auto& news : pending_news_) {
+      if (!news.uninformed.count(index)) continue;
+      const auto& observation = news.observation;
+      bool knows =
+          observation.kind == RegisterKind::retry_after
+              ? known_end(world, index, observation.subject) >= news.end - drift_allowance(news.end, news.at)
+          : observation.kind == RegisterKind::outage
+              ? node.routes[observation.subject].state == observation.state
+              : node.offline_endpoints.count(subject_name(observation.subject)) &&
+                    node.offline_endpoints[subject_name(observation.subject)] == observation.offline;
       if (!knows) continue;
-      news.owed.erase(place);
-      if (order_.samples)
-        samples_[tell.matter == RegisterKind::retry_after ? "ms until a told wait is known"
-                                                          : "ms until other news is known"]
+      news.uninformed.erase(index);
+      if (options_.samples)
+        samples_[observation.kind == RegisterKind::retry_after ? "ms until a told wait is known"
+                                                               : "ms until other news is known"]
             .push_back(world.now() - news.at);
-      if (news.owed.empty() && order_.samples && tell.matter == RegisterKind::retry_after)
+      if (news.uninformed.empty() && options_.samples && observation.kind == RegisterKind::retry_after)
         samples_["ms until a told wait is known by all"].push_back(world.now() - news.at);
-      if (quiet_ && world.now() > news.at + spread_bound(world))
-        world.broken("spread", "member %d learns after %.0f ms of %s, told to member %d", place,
-                     world.now() - news.at, news.name.c_str(), news.place);
+      if (fault_free_ && world.now() > news.at + max_spread(world))
+        world.report_violation("spread", "member %d learns after %.0f ms of %s, received by member %d", index,
+                               world.now() - news.at, news.name.c_str(), news.index);
     }
-    if (world.now() - view.second >= 1000) view.second = world.now(), view.sent = 0;
-    view.sent += static_cast<int>(decided.sends.size());
+    if (world.now() - view.window_start >= 1000) view.window_start = world.now(), view.messages_in_window = 0;
+    view.messages_in_window += static_cast<int>(actions.sends.size());
     int others = -1;
     for (int i = 0; i < world.machines(); ++i) others += world.machine(i).state != Machine::State::off;
-    int most = others <= few ? messages_each * std::min(few, world.shape().members - 1) : messages_most;
-    if (view.sent > most)
-      world.broken("messages", "member %d sends %d messages of shared state within a second", place,
-                   view.sent);
+    int most = others <= small_fleet
+                   ? max_messages_per_peer * std::min(small_fleet, world.config().members - 1)
+                   : max_messages_per_second;
+    if (view.messages_in_window > most)
+      world.report_violation("messages", "member %d sends %d register messages within a second", index,
+                             view.messages_in_window);
   }
 
-  // What a copy holds that must be alike everywhere, as lines; true: it ends so soon that another may have
-  // forgotten it.
-  static std::map<std::string, bool> told(const std::vector<RegisterRecord>& words) {
+  // The contents of a copy that have to agree on all members, as lines. True marks a record that expires so
+  // soon that another member may have dropped it.
+  static std::map<std::string, bool> comparable_lines(const std::vector<RegisterRecord>& records) {
     std::map<std::string, bool> lines;
-    for (const auto& word : words) {
+    for (const auto& record : records) {
       char line[240];
       std::snprintf(line, sizeof line,
-                    "matter %d of %s version %llu of %016llx: span %.3f state %d limit %.3f out %d",
-                    static_cast<int>(word.kind), word.name.c_str(),
-                    static_cast<unsigned long long>(word.version.counter),
-                    static_cast<unsigned long long>(word.version.origin), word.duration,
-                    static_cast<int>(word.state), word.rate_limit, word.offline);
-      lines[line] = (word.kind == RegisterKind::retry_after && word.duration - word.age < 500) ||
-                    (word.kind == RegisterKind::rate_limit && word.age > 50000);
+                    "kind %d of %s version %llu of %016llx: duration %.3f state %d limit %.3f offline %d",
+                    static_cast<int>(record.kind), record.name.c_str(),
+                    static_cast<unsigned long long>(record.version.counter),
+                    static_cast<unsigned long long>(record.version.origin), record.duration,
+                    static_cast<int>(record.state), record.rate_limit, record.offline);
+      lines[line] = (record.kind == RegisterKind::retry_after && record.duration - record.age < 500) ||
+                    (record.kind == RegisterKind::rate_limit && record.age > 50000);
     }
     return lines;
   }
 
-  // The order that all hold is none that its giver's successor had seen and gone over.
-  void orders_right(World& world, int place) {
-    if (place < 0) return;
-    auto& sharer = *views_[place].sharer;
-    for (const auto& [endpoint, out] : sharer.outs) {
-      auto held = by_version_.find(version_of(sharer, endpoint));
-      if (held == by_version_.end()) continue;
-      if (given_[held->second].out != out)
-        world.broken("order", "member %d acts on %s otherwise than the order that it holds", place,
-                     endpoint.c_str());
-      for (std::size_t i = 0; i < given_.size(); ++i) {
-        if (!given_[i].over.count(held->second) || subject_of_order_[i] != endpoint) continue;
-        // A later one may be lost with its giver.
+  // Checks that no order in force was replaced by a later one that knew of it.
+  void check_offline_orders(World& world, int index) {
+    if (index < 0) return;
+    auto& node = *views_[index].node;
+    for (const auto& [endpoint, offline] : node.offline_endpoints) {
+      auto held = order_by_version_.find(version_of(node, endpoint));
+      if (held == order_by_version_.end()) continue;
+      if (offline_orders_[held->second].offline != offline)
+        world.report_violation("order", "member %d applies an order on %s that differs from its record",
+                               index, endpoint.c_str());
+      for (std::size_t i = 0; i < offline_orders_.size(); ++i) {
+        if (!offline_orders_[i].superseded.count(held->second) || endpoint_of_order_[i] != endpoint) continue;
+        // A later order may be lost with the member that got it.
         bool lost = false;
         for (const auto& fault : world.faults())
-          lost |=
-              fault.kind == Fault::Kind::kill && fault.who[0] == given_[i].place && fault.at > given_[i].at;
+          lost |= fault.kind == Fault::Kind::kill && fault.members[0] == offline_orders_[i].index &&
+                  fault.at > offline_orders_[i].at;
         if (!lost)
-          world.broken("order", "an order on %s of %.0f holds, though member %d went over it at %.0f",
-                       endpoint.c_str(), given_[held->second].at, given_[i].place, given_[i].at);
+          world.report_violation("order",
+                                 "an order on %s of %.0f is in force, though member %d replaced it at %.0f",
+                                 endpoint.c_str(), offline_orders_[held->second].at, offline_orders_[i].index,
+                                 offline_orders_[i].at);
       }
     }
   }
 
-  Order order_;
-  std::vector<View> views_;
+  RunOptions options_;
+  std::vector<NodeView> views_;
   std::vector<Millis> last_turn_;
-  std::vector<Tell> tells_;
+  std::vector<Observation> observations_;
   std::map<int, std::vector<Wait>> waits_;
-  std::vector<News> open_;
-  std::vector<Given> given_;
-  std::vector<std::string> subject_of_order_;
-  std::map<Held, std::size_t> by_version_;
+  std::vector<PendingNews> pending_news_;
+  std::vector<OfflineOrder> offline_orders_;
+  std::vector<std::string> endpoint_of_order_;
+  std::map<OrderVersion, std::size_t> order_by_version_;
   Samples samples_;
-  bool quiet_ = false;
+  bool fault_free_ = false;
   double drift_ = 0;
-  Millis slow_ = 0;
+  Millis total_delay_ = 0;
 };
 
-Shape shape_of(Chance& chance, int relays) {
-  Shape shape;
-  shape.members = draw_members(chance, relays);
-  shape.halls = 1 + chance.below(4);
-  shape.far = chance.between(0.5, 40);
-  shape.warm_up = 8000;
-  shape.healed = shape.warm_up + chance.between(4000, shape.members > 60 ? 8000 : 25000);
-  shape.end = shape.healed + settled_within + 500;
-  shape.datagrams = chance.odds(0.2);
-  shape.lost = chance.odds(0.5) ? 0 : 0.01 * (1 + chance.below(5));
-  shape.doubled = chance.odds(0.5) ? 0 : chance.between(0, 0.1);
-  shape.spikes = chance.odds(0.5) ? 0 : 0.0005;
-  if (shape.datagrams || shape.members <= 5) shape.spikes = 0;
-  shape.drift = 0.001;
-  shape.folder_lags = true;
-  shape.wall_apart = chance.odds(0.5) ? 0 : 300000;
-  return shape;
+RunConfig draw_config(RandomSource& random, int relays) {
+  RunConfig config;
+  config.members = draw_members(random, relays);
+  config.zones = 1 + random.uniform_below(4);
+  config.farthest_zone_delay = random.between(0.5, 40);
+  config.faults_from = 8000;
+  config.faults_until = config.faults_from + random.between(4000, config.members > 60 ? 8000 : 25000);
+  config.end = config.faults_until + settle_time + 500;
+  config.datagrams = random.bernoulli(0.2);
+  config.loss_rate = random.bernoulli(0.5) ? 0 : 0.01 * (1 + random.uniform_below(5));
+  config.duplication_rate = random.bernoulli(0.5) ? 0 : random.between(0, 0.1);
+  config.delay_spike_rate = random.bernoulli(0.5) ? 0 : 0.0005;
+  if (config.datagrams || config.members <= 5) config.delay_spike_rate = 0;
+  config.max_clock_drift = 0.001;
+  config.storage_lags = true;
+  config.max_wall_clock_offset = random.bernoulli(0.5) ? 0 : 300000;
+  return config;
 }
 
 }  // namespace
 
 Part registers_part() {
   Part part;
-  part.name = "registers", part.shape = shape_of;
-  part.make = [](const Order& order) -> std::unique_ptr<Trial> {
-    return std::make_unique<RegistersTrial>(order);
+  part.name = "registers", part.draw_config = draw_config;
+  part.make_workload = [](const RunOptions& order) -> std::unique_ptr<Workload> {
+    return std::make_unique<RegistersWorkload>(order);
   };
-  part.weather.calm = 0.3, part.weather.walls = true;
-  part.plants = {{"news-lost", "spread"},          {"wait-longer", "wait-longer"},
-                 {"wait-shorter", "spread"},       {"register-chatter", "messages"},
-                 {"restart-forgets", "kept"},      {"order-turned", "order"},
-                 {"never-caught-up", "caught-up"}, {"caught-up-early", "caught-up-early"},
-                 {"copies-differ", "converge"}};
+  part.fault_profile.fault_free_share = 0.3, part.fault_profile.wall_clock_jumps = true;
+  part.injected_faults = {{"news-lost", "spread"},          {"wait-longer", "wait-longer"},
+                          {"wait-shorter", "spread"},       {"register-chatter", "messages"},
+                          {"restart-forgets", "kept"},      {"order-turned", "order"},
+                          {"never-caught-up", "caught-up"}, {"caught-up-early", "caught-up-early"},
+                          {"copies-differ", "converge"}};
   return part;
 }
 
--- a/src/model/run.h
+++ b/src/model/run.h
@@ -1,5 +1,5 @@
-// Owns how runs are made of seeds: one seed, many over threads, and the fewest faults with which a seed still
-// breaks. It must never let one run see another: each has a world of its own.
+// Runs seeds: one, a range over several threads, or a failing one with its fault list shrunk. Runs share no
+// state: each has its own World.
 #pragma once
 
 #include <functional>
@@ -11,29 +11,30 @@
 
 namespace rockcrank::model {
 
-struct Result {
+struct RunResult {
   std::uint64_t seed = 0;
   std::string part;
   bool holds = true;
-  std::string check, seen;
+  std::string check, details;
   std::uint64_t digest = 0, events = 0;
   int members = 0;
   std::vector<Fault> faults;
   std::string trace;
 };
 
-// faults: in place of those drawn from the seed.
-Result run_seed(const Part& part, std::uint64_t seed, const Order& order, bool text,
-                const std::vector<Fault>* faults = nullptr);
+// Runs one seed. `faults`, where given, replaces the faults drawn from the seed.
+RunResult run_seed(const Part& part, std::uint64_t seed, const RunOptions& options, bool record_trace,
+                   const std::vector<Fault>* faults = nullptr);
 
-// The same seed with faults left out, as long as the same check still finds it broken.
-Result shortest(const Part& part, const Result& broken, const Order& order);
+// Reruns the seed of a failed run and removes every fault without which the same check still fails.
+RunResult shrink(const Part& part, const RunResult& broken, const RunOptions& options);
 
-// What happened, from a run with text: faults, and what was noted but messages, the last lines.
-std::string story(const Result& result);
+// Describes a failed run that recorded its trace: its faults and the last trace lines, without the messages.
+std::string failure_report(const RunResult& result);
 
-// All seeds of the range, on so many threads; done is called for one at a time, in order of seeds.
-void run_seeds(const Part& part, std::uint64_t first, std::uint64_t last, const Order& order, int threads,
-               const std::function<bool(const Result&)>& done);
+// Runs all seeds of the range on `threads` threads. Results are passed to `on_result` one at a time, in seed
+// order; it returns false to stop.
+void run_seeds(const Part& part, std::uint64_t first, std::uint64_t last, const RunOptions& options,
+               int threads, const std::function<bool(const RunResult&)>& on_result);
 
 }  // namespace rockcrank::model
