--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -1,5 +1,4 @@
-// The model's kernel; world.h says what it owns. It must never take a number from anywhere but seed and
-// faults.
+// The simulation kernel. Everything it draws follows from the seed and the faults.
 #include "model/world.h"
 
 #define XXH_INLINE_ALL
@@ -18,21 +17,20 @@
 
 namespace {
 
-constexpr Millis latest_turn = 0.3;  // from an input to the turn that takes it in
-// As peer/link.cpp has them: dials that wait ever longer, and pings that find a connection that carries
-// nothing.
-constexpr Millis redial_first = 50, redial_most = 1000;
-constexpr Millis silent_least = 1500, silent_most = 2200, accepted_silence = 10000;
-constexpr double trips_to_greet = 4;  // crossings from a dial until its greeting is answered
-constexpr Millis resent_most = 300;   // after a cut, until what was held goes over
-constexpr double spikes = 0.0005;     // share of messages that take far longer
-constexpr Millis spike_most = 60;
-constexpr Millis folder_each = 1000;
-constexpr int folders_kept = 30;
-constexpr int turns_most = 20000;  // a second and process: more is a module that asks to be woken at once
+constexpr Millis max_turn_delay = 0.3;  // from an input's arrival to the turn that processes it
+// As in peer/link.cpp: redials back off, and pings detect a connection that carries nothing.
+constexpr Millis min_redial_delay = 50, max_redial_delay = 1000;
+constexpr Millis min_silence_timeout = 1500, max_silence_timeout = 2200, max_peer_silence = 10000;
+constexpr double handshake_crossings = 4;  // one-way latencies from a dial until its handshake is done
+constexpr Millis max_resend_delay = 300;   // until held messages are resent after a cut
+constexpr double spikes = 0.0005;          // share of messages with a delay spike
+constexpr Millis max_delay_spike = 60;
+constexpr Millis snapshot_interval = 1000;
+constexpr int max_snapshots = 30;
+constexpr int max_turns_per_second = 20000;  // per process; more means a module that asks to be woken at once
 constexpr double wall_epoch = 1.7e12;
 
-std::string formatted(const char* format, va_list values) {
+std::string format_text(const char* format, va_list values) {
   char line[600];
   std::vsnprintf(line, sizeof line, format, values);
   return line;
@@ -40,321 +38,331 @@
 
 }  // namespace
 
-World::World(const Shape& shape, std::uint64_t seed, std::vector<Fault> faults, Trial& trial, bool text)
-    : shape_(shape),
+World::World(const RunConfig& config, std::uint64_t seed, std::vector<Fault> faults, Workload& workload,
+             bool record_trace)
+    : config_(config),
       seed_(seed),
       faults_(std::move(faults)),
-      trial_(trial),
-      text_(text),
-      chance_(mixed(seed, 0x3a)) {
-  Chance chance(mixed(seed, 0x77));
-  int n = shape_.members;
+      workload_(workload),
+      record_trace_(record_trace),
+      random_(hash_values(seed, 0x3a)) {
+  RandomSource random(hash_values(seed, 0x77));
+  int n = config_.members;
   for (int i = 0; i < n; ++i) {
-    std::string name = "m", hall = "h";
-    name += std::to_string(i), hall += std::to_string(chance.below(shape_.halls));
-    roster_.push_back({fleet::MemberId{fnv1a_hash(name)}, name, hall});
+    std::string name = "m", zone = "h";
+    name += std::to_string(i), zone += std::to_string(random.uniform_below(config_.zones));
+    roster_.push_back({fleet::MemberId{fnv1a_hash(name)}, name, zone});
   }
   std::sort(roster_.begin(), roster_.end(), [](const auto& a, const auto& b) { return a.id < b.id; });
   for (int i = 0; i < n; ++i) {
-    places_[roster_[i].id] = i;
-    hall_.push_back(std::stoi(roster_[i].zone.substr(1)));
+    index_by_member_[roster_[i].id] = i;
+    zone_of_.push_back(std::stoi(roster_[i].zone.substr(1)));
   }
-  int twins = 0;
-  for (const auto& fault : faults_) twins += fault.kind == Fault::Kind::twin;
-  machines_.resize(n + twins);
-  waiting_.resize(n + twins);
-  ways_.resize(machines_.size() * machines_.size());
+  int duplicates = 0;
+  for (const auto& fault : faults_) duplicates += fault.kind == Fault::Kind::duplicate_process;
+  machines_.resize(n + duplicates);
+  turn_states_.resize(n + duplicates);
+  connections_.resize(machines_.size() * machines_.size());
   for (std::size_t i = 0; i < machines_.size(); ++i) {
     machines_[i].member = static_cast<int>(i) < n ? static_cast<int>(i) : 0;
-    machines_[i].rate = 1 + shape_.drift * chance.between(-0.499, 0.499);
-    machines_[i].wall_off = chance.between(-0.5, 0.5) * shape_.wall_apart;
+    machines_[i].rate = 1 + config_.max_clock_drift * random.between(-0.499, 0.499);
+    machines_[i].wall_clock_offset = random.between(-0.5, 0.5) * config_.max_wall_clock_offset;
   }
-  int twin = n;
+  int duplicate = n;
   for (const auto& fault : faults_)
-    if (fault.kind == Fault::Kind::twin)
-      machines_[twin].member = fault.who[0], hall_.push_back(hall_[fault.who[0]]), ++twin;
+    if (fault.kind == Fault::Kind::duplicate_process)
+      machines_[duplicate].member = fault.members[0], zone_of_.push_back(zone_of_[fault.members[0]]),
+      ++duplicate;
   for (int a = 0; a < n; ++a)
     for (int b = 0; b < n; ++b)
-      if (a != b) longest_ = std::max(longest_, crossing(a, b, ~0ULL));
+      if (a != b) max_latency_ = std::max(max_latency_, latency(a, b, ~0ULL));
 }
 
 World::~World() = default;
 
-Millis World::local(int place) const {
-  const auto& machine = machines_[place];
+Millis World::local_time(int index) const {
+  const auto& machine = machines_[index];
   return machine.clock_base + (now_ - machine.booted) * machine.rate;
 }
 
-double World::wall(int place) const {
-  return wall_epoch + now_ * machines_[place].rate + machines_[place].wall_off;
+double World::wall_time(int index) const {
+  return wall_epoch + now_ * machines_[index].rate + machines_[index].wall_clock_offset;
 }
 
-void World::note(const char* format, ...) {
+void World::trace_line(const char* format, ...) {
   char line[600];
   va_list values;
   va_start(values, format);
   int size = std::vsnprintf(line, sizeof line, format, values);
   va_end(values);
   size = std::clamp(size, 0, static_cast<int>(sizeof line) - 1);
-  fold(XXH3_64bits(line, static_cast<std::size_t>(size)), 0, 0);
-  if (!text_) return;
+  add_to_digest(XXH3_64bits(line, static_cast<std::size_t>(size)), 0, 0);
+  if (!record_trace_) return;
   char time[40];
   std::snprintf(time, sizeof time, "%11.3f ", now_);
   trace_ += time, trace_ += line, trace_ += '\n';
 }
 
-void World::broken(const std::string& check, const char* format, ...) {
+void World::report_violation(const std::string& check, const char* format, ...) {
   va_list values;
   va_start(values, format);
-  auto text = formatted(format, values);
+  auto record_trace = format_text(format, values);
   va_end(values);
-  note("broken: %s: %s", check.c_str(), text.c_str());
-  throw Broken(check, "at " + std::to_string(static_cast<long>(now_)) + " ms: " + text);
+  trace_line("violated: %s: %s", check.c_str(), record_trace.c_str());
+  throw InvariantViolation(check, "at " + std::to_string(static_cast<long>(now_)) + " ms: " + record_trace);
 }
 
-void World::fold(std::uint64_t a, std::uint64_t b, std::uint64_t c) {
+void World::add_to_digest(std::uint64_t a, std::uint64_t b, std::uint64_t c) {
   std::uint64_t time;
   std::memcpy(&time, &now_, sizeof time);
-  digest_ = mixed(digest_, time, a, b, c);
+  digest_ = hash_values(digest_, time, a, b, c);
 }
 
 void World::post(Event::Kind kind, Millis at, int a, int b, std::uint64_t number,
                  std::shared_ptr<Input> input) {
-  queue_.push({kind, std::max(at, now_), ++order_, a, b, number, std::move(input)});
+  queue_.push({kind, std::max(at, now_), ++last_event_order_, a, b, number, std::move(input)});
 }
 
-// Count ~0: the longest without a spike.
-Millis World::crossing(int from, int to, std::uint64_t count) const {
-  auto link = mixed(seed_, 0x11, from, to);
-  Millis base = 0.08 + 0.4 * share_of(link);
-  if (hall_[from] != hall_[to])
-    base += shape_.far * (0.2 + 0.8 * share_of(mixed(seed_, 0x12, std::min(hall_[from], hall_[to]),
-                                                     std::max(hall_[from], hall_[to]))));
+// With count ~0: the maximum without a spike.
+Millis World::latency(int from, int to, std::uint64_t count) const {
+  auto connection = hash_values(seed_, 0x11, from, to);
+  Millis base = 0.08 + 0.4 * unit_interval(connection);
+  if (zone_of_[from] != zone_of_[to])
+    base += config_.farthest_zone_delay *
+            (0.2 + 0.8 * unit_interval(hash_values(seed_, 0x12, std::min(zone_of_[from], zone_of_[to]),
+                                                   std::max(zone_of_[from], zone_of_[to]))));
   if (count == ~0ULL) return base * 1.3;
-  auto drawn = mixed(link, count);
-  Millis time = base * (1 + 0.3 * share_of(drawn));
-  if (share_of(mixed(drawn, 1)) < shape_.spikes) time += spike_most * share_of(mixed(drawn, 2));
+  auto drawn = hash_values(connection, count);
+  Millis time = base * (1 + 0.3 * unit_interval(drawn));
+  if (unit_interval(hash_values(drawn, 1)) < config_.delay_spike_rate)
+    time += max_delay_spike * unit_interval(hash_values(drawn, 2));
   return time;
 }
 
-bool World::reaches(int from, int to) const {
+bool World::can_reach(int from, int to) const {
   int a = machines_[from].member, b = machines_[to].member;
   for (int number : active_)
-    if (faults_[number].stops(a, b, now_)) return false;
+    if (faults_[number].blocks(a, b, now_)) return false;
   return true;
 }
 
-Millis World::slowed(int from, int to) const {
-  Millis by = 0;
+Millis World::extra_delay(int from, int to) const {
+  Millis total = 0;
   for (int number : active_) {
     const auto& fault = faults_[number];
-    if (fault.kind == Fault::Kind::slow && machines_[from].member == fault.who[0] &&
-        (fault.whom.empty() || machines_[to].member == fault.whom[0]))
-      by += fault.by;
+    if (fault.kind == Fault::Kind::delay && machines_[from].member == fault.members[0] &&
+        (fault.peers.empty() || machines_[to].member == fault.peers[0]))
+      total += fault.delta;
   }
-  return by;
+  return total;
 }
 
-void World::call(Millis at, std::uint64_t what) { post(Event::Kind::call, at, 0, 0, what); }
+void World::schedule(Millis at, std::uint64_t task) { post(Event::Kind::timer, at, 0, 0, task); }
 
-void World::give(int place, std::uint64_t what) {
+void World::enqueue_task(int index, std::uint64_t task) {
   auto input = std::make_shared<Input>();
-  input->kind = Input::Kind::work, input->what = what;
-  arrive(place, std::move(input));
+  input->kind = Input::Kind::task, input->task = task;
+  arrive(index, std::move(input));
 }
 
 void World::run() {
-  int n = shape_.members;
-  trial_.begin(*this);
+  int n = config_.members;
+  workload_.begin(*this);
   for (int i = 0; i < n; ++i)
-    post(Event::Kind::boot, chance_.between(0, std::min(500.0, shape_.warm_up / 4)), i, 0);
+    post(Event::Kind::boot, random_.between(0, std::min(500.0, config_.faults_from / 4)), i, 0);
   for (int i = 0; i < static_cast<int>(faults_.size()); ++i) {
     post(Event::Kind::fault, faults_[i].at, 0, 0, i);
     if (faults_[i].until >= 0) post(Event::Kind::fault_end, faults_[i].until, 0, 0, i);
   }
-  post(Event::Kind::watch, watch_each);
+  post(Event::Kind::check, check_interval);
   while (!queue_.empty()) {
     Event event = queue_.top();
     queue_.pop();
-    if (event.at > shape_.end) break;
+    if (event.at > config_.end) break;
     now_ = event.at;
     ++events_;
     handle(event);
   }
-  now_ = shape_.end;
-  trial_.finish(*this);
+  now_ = config_.end;
+  workload_.check_final(*this);
 }
 
 void World::handle(Event& event) {
   using Kind = Event::Kind;
   switch (event.kind) {
     case Kind::input:
-      if (shape_.datagrams) {
-        if (!datagram_of_newest(event.a, event.b, event.input->life)) return;
-      } else if (way(event.a, event.b).generation != event.input->generation) return;
+      if (config_.datagrams) {
+        if (!accept_datagram(event.a, event.b, event.input->incarnation)) return;
+      } else if (connection_at(event.a, event.b).generation != event.input->generation) return;
       return arrive(event.b, std::move(event.input));
-    case Kind::turn: return turn(event.a);
+    case Kind::turn: return run_turn(event.a);
     case Kind::wake:
-      if (waiting_[event.a].wake == event.number && running(event.a)) turn(event.a);
+      if (turn_states_[event.a].wake_generation == event.number && is_running(event.a)) run_turn(event.a);
       return;
     case Kind::dial: return dial(event.a, event.b);
-    case Kind::greeted: return greeted(event.a, event.b, event.number);
-    case Kind::silent: {
-      auto& link = way(event.a, event.b);
-      bool stopped = !reaches(event.a, event.b) || !reaches(event.b, event.a) || !running(event.b);
-      if (link.generation == event.number && link.up && stopped) break_off(event.a, event.b, 0);
+    case Kind::handshake_done: return finish_handshake(event.a, event.b, event.number);
+    case Kind::silence_timeout: {
+      auto& connection = connection_at(event.a, event.b);
+      bool stopped = !can_reach(event.a, event.b) || !can_reach(event.b, event.a) || !is_running(event.b);
+      if (connection.generation == event.number && connection.up && stopped)
+        break_connection(event.a, event.b, 0);
       return;
     }
-    case Kind::lost: {  // the sender learns that its connection is over
-      auto& link = way(event.a, event.b);
-      if (link.generation != event.number || !link.up || !link.broken) return;
-      link.up = false;
+    case Kind::connection_lost: {  // the sender detects that its connection is broken
+      auto& connection = connection_at(event.a, event.b);
+      if (connection.generation != event.number || !connection.up || !connection.broken) return;
+      connection.up = false;
       auto input = std::make_shared<Input>();
-      input->kind = Input::Kind::down, input->from = event.b, input->life = link.life;
+      input->kind = Input::Kind::down, input->from = event.b, input->incarnation = connection.incarnation;
       arrive(event.a, std::move(input));
-      return redial(event.a, event.b);
+      return schedule_dial(event.a, event.b);
     }
     case Kind::fault: return begin_fault(static_cast<int>(event.number));
     case Kind::fault_end: return end_fault(static_cast<int>(event.number));
     case Kind::flap: {
       const auto& fault = faults_[event.number];
       if (now_ >= fault.until) return;
-      blocked_now(fault, static_cast<int>(event.number));
-      flush_held();
-      post(Kind::flap, now_ + fault.flaps, 0, 0, event.number);
+      schedule_silence_timeouts(fault, static_cast<int>(event.number));
+      deliver_unblocked();
+      post(Kind::flap, now_ + fault.flap_period, 0, 0, event.number);
       return;
     }
-    case Kind::boot: return boot(event.a, Folder::emptied, 0);
-    case Kind::call: return trial_.event(*this, event.number);
-    case Kind::watch:
-      trial_.watch(*this);
-      if (std::fmod(now_ + 0.5, folder_each) < watch_each)
+    case Kind::boot: return boot(event.a, StorageOnRestart::emptied, 0);
+    case Kind::timer: return workload_.on_timer(*this, event.number);
+    case Kind::check:
+      workload_.check(*this);
+      if (std::fmod(now_ + 0.5, snapshot_interval) < check_interval)
         for (int i = 0; i < machines(); ++i)
-          if (running(i)) {
-            auto& list = machines_[i].folders;
-            list.push_back({now_, {machines_[i].last_life, trial_.folder(*this, i)}});
-            if (list.size() > folders_kept) list.erase(list.begin());
+          if (is_running(i)) {
+            auto& list = machines_[i].storage_snapshots;
+            list.push_back({now_, {machines_[i].last_incarnation, workload_.storage_snapshot(*this, i)}});
+            if (list.size() > max_snapshots) list.erase(list.begin());
           }
-      post(Kind::watch, now_ + watch_each);
+      post(Kind::check, now_ + check_interval);
       return;
   }
 }
 
-void World::boot(int place, Folder folder, Millis gone_for) {
-  auto& machine = machines_[place];
+void World::boot(int index, StorageOnRestart storage, Millis downtime) {
+  auto& machine = machines_[index];
   if (machine.state != Machine::State::off) return;
   std::any found;
-  if (folder == Folder::emptied) machine.last_life = 0;
-  else if (!machine.folders.empty()) {
-    const auto& [at, lain] = folder == Folder::kept ? machine.folders.back() : machine.folders.front();
-    machine.last_life = lain.first, found = lain.second;
-    if (folder == Folder::older) gone_for = now_ - at;
+  if (storage == StorageOnRestart::emptied) machine.last_incarnation = 0;
+  else if (!machine.storage_snapshots.empty()) {
+    const auto& [at, snapshot] = storage == StorageOnRestart::kept ? machine.storage_snapshots.back()
+                                                                   : machine.storage_snapshots.front();
+    machine.last_incarnation = snapshot.first, found = snapshot.second;
+    if (storage == StorageOnRestart::outdated) downtime = now_ - at;
   }
-  auto number = std::max(static_cast<std::uint64_t>(wall(place)), machine.last_life + 1);
-  machine.last_life = number;
-  machine.life = {number, mixed(seed_, 0x31, place, ++machine.boots) >> 1};
-  machine.clock_base = 1000 + 1e6 * share_of(mixed(seed_, 0x32, place, machine.boots));
+  auto number = std::max(static_cast<std::uint64_t>(wall_time(index)), machine.last_incarnation + 1);
+  machine.last_incarnation = number;
+  machine.incarnation = {number, hash_values(seed_, 0x31, index, ++machine.boots) >> 1};
+  machine.clock_base = 1000 + 1e6 * unit_interval(hash_values(seed_, 0x32, index, machine.boots));
   machine.booted = now_;
   machine.state = Machine::State::running;
-  note("%s %d begins life %llu", place < shape_.members ? "member" : "twin of member", machine.member,
-       static_cast<unsigned long long>(number));
-  if (folder == Folder::emptied) machine.folders.clear();
-  machine.folders.push_back({now_, {number, found}});
-  machine.modules = trial_.boot(*this, place, found, gone_for);
-  waiting_[place].inbox.clear();
+  trace_line("%s %d starts as incarnation %llu",
+             index < config_.members ? "member" : "duplicate process of member", machine.member,
+             static_cast<unsigned long long>(number));
+  if (storage == StorageOnRestart::emptied) machine.storage_snapshots.clear();
+  machine.storage_snapshots.push_back({now_, {number, found}});
+  machine.process = workload_.boot(*this, index, found, downtime);
+  turn_states_[index].inbox.clear();
   for (int other = 0; other < machines(); ++other) {
-    if (other == place || machines_[other].member == machine.member) continue;
-    if (shape_.datagrams) {
-      way(other, place).life = {};
+    if (other == index || machines_[other].member == machine.member) continue;
+    if (config_.datagrams) {
+      connection_at(other, index).incarnation = {};
       auto input = std::make_shared<Input>();
       input->kind = Input::Kind::up, input->from = other;
-      arrive(place, std::move(input));
+      arrive(index, std::move(input));
       continue;
     }
-    redial(place, other);
-    way(place, other).failures = 0;
-    // It dials at once, and whoever hears of it dials back.
-    if (place < shape_.members) redial(other, place);
+    schedule_dial(index, other);
+    connection_at(index, other).failures = 0;
+    // It dials at once, and each peer dials back.
+    if (index < config_.members) schedule_dial(other, index);
   }
-  if (!waiting_[place].turn_posted) waiting_[place].turn_posted = true, post(Event::Kind::turn, now_, place);
+  if (!turn_states_[index].turn_posted)
+    turn_states_[index].turn_posted = true, post(Event::Kind::turn, now_, index);
 }
 
-void World::end_process(int place, bool abrupt) {
-  auto& machine = machines_[place];
+void World::end_process(int index, bool abrupt) {
+  auto& machine = machines_[index];
   if (machine.state == Machine::State::off) return;
-  note("member %d ends", machine.member);
-  if (!shape_.folder_lags)
-    machine.folders.push_back({now_, {machine.last_life, trial_.folder(*this, place)}});
-  trial_.killed(*this, place);
+  trace_line("member %d: process ended", machine.member);
+  if (!config_.storage_lags)
+    machine.storage_snapshots.push_back(
+        {now_, {machine.last_incarnation, workload_.storage_snapshot(*this, index)}});
+  workload_.on_process_end(*this, index);
   machine.state = Machine::State::off;
-  machine.modules.reset();
-  waiting_[place].inbox.clear();
-  ++waiting_[place].wake;
-  if (shape_.datagrams) return;
+  machine.process.reset();
+  turn_states_[index].inbox.clear();
+  ++turn_states_[index].wake_generation;
+  if (config_.datagrams) return;
   for (int other = 0; other < machines(); ++other) {
-    if (other == place) continue;
-    // What it sent is on its way; what comes for it finds nobody.
-    auto& own = way(place, other);
+    if (other == index) continue;
+    // Messages that it sent still arrive; messages to it are dropped.
+    auto& own = connection_at(index, other);
     own.up = false;
-    own.held.clear();
-    auto& theirs = way(other, place);
+    own.blocked.clear();
+    auto& theirs = connection_at(other, index);
     if (!theirs.up || theirs.broken) continue;
-    bool told = !abrupt && reaches(place, other);
-    auto drawn = share_of(mixed(seed_, 0x23, place, other, theirs.generation));
+    bool peer_notified = !abrupt && can_reach(index, other);
+    auto drawn = unit_interval(hash_values(seed_, 0x23, index, other, theirs.generation));
     theirs.broken = true, theirs.failures = 1, ++theirs.generation;
-    theirs.held.clear();
-    post(Event::Kind::lost,
-         now_ + (told ? crossing(place, other, own.count++)
-                      : silent_least + (silent_most - silent_least) * drawn),
-         other, place, theirs.generation);
+    theirs.blocked.clear();
+    post(Event::Kind::connection_lost,
+         now_ + (peer_notified ? latency(index, other, own.draws++)
+                               : min_silence_timeout + (max_silence_timeout - min_silence_timeout) * drawn),
+         other, index, theirs.generation);
   }
 }
 
 void World::begin_fault(int number) {
   const auto& fault = faults_[number];
   using Kind = Fault::Kind;
-  note("fault: %s", fault.told().c_str());
+  trace_line("fault: %s", fault.describe().c_str());
   switch (fault.kind) {
     case Kind::cut:
-    case Kind::islands:
+    case Kind::partition:
       active_.insert(number);
-      blocked_now(fault, number);
-      if (fault.flaps > 0) post(Event::Kind::flap, now_ + fault.flaps, 0, 0, number);
+      schedule_silence_timeouts(fault, number);
+      if (fault.flap_period > 0) post(Event::Kind::flap, now_ + fault.flap_period, 0, 0, number);
       return;
-    case Kind::slow: active_.insert(number); return;
+    case Kind::delay: active_.insert(number); return;
     case Kind::reset:
-      if (shape_.datagrams) return;
-      for (int a : fault.who)
+      if (config_.datagrams) return;
+      for (int a : fault.members)
         for (int b = 0; b < machines(); ++b)
-          if (b != a &&
-              (fault.whom.empty() || std::find(fault.whom.begin(), fault.whom.end(), b) != fault.whom.end()))
+          if (b != a && (fault.peers.empty() ||
+                         std::find(fault.peers.begin(), fault.peers.end(), b) != fault.peers.end()))
             for (auto [from, to] : {std::pair(a, b), std::pair(b, a)})
-              break_off(from, to, 2 * share_of(mixed(seed_, 0x28, from, to, number)));
+              break_connection(from, to, 2 * unit_interval(hash_values(seed_, 0x28, from, to, number)));
       return;
-    case Kind::kill: return end_process(fault.who[0], fault.abrupt);
+    case Kind::kill: return end_process(fault.members[0], fault.abrupt);
     case Kind::stall: {
-      int place = fault.who[0];
-      if (!running(place)) return;
-      machines_[place].state = Machine::State::stalled;
-      note("member %d stands still", place);
-      if (shape_.datagrams) return;
+      int index = fault.members[0];
+      if (!is_running(index)) return;
+      machines_[index].state = Machine::State::stalled;
+      trace_line("member %d stalled", index);
+      if (config_.datagrams) return;
       for (int other = 0; other < machines(); ++other) {
-        if (other == place) continue;
-        auto drawn = share_of(mixed(seed_, 0x24, place, other, number));
-        post(Event::Kind::silent, now_ + silent_least + (silent_most - silent_least) * drawn, other, place,
-             way(other, place).generation);
+        if (other == index) continue;
+        auto drawn = unit_interval(hash_values(seed_, 0x24, index, other, number));
+        post(Event::Kind::silence_timeout,
+             now_ + min_silence_timeout + (max_silence_timeout - min_silence_timeout) * drawn, other, index,
+             connection_at(other, index).generation);
         auto until = fault.until;
-        if (until - now_ > accepted_silence && way(place, other).up)
-          break_off(place, other, until - now_ + drawn);
+        if (until - now_ > max_peer_silence && connection_at(index, other).up)
+          break_connection(index, other, until - now_ + drawn);
       }
       return;
     }
-    case Kind::wall: machines_[fault.who[0]].wall_off += fault.by; return;
-    case Kind::twin: {
-      int place = shape_.members;
-      for (int i = 0; i < number; ++i) place += faults_[i].kind == Kind::twin;
-      machines_[place].folders = machines_[fault.who[0]].folders;
-      return boot(place, Folder::older, 0);
+    case Kind::wall_clock_jump: machines_[fault.members[0]].wall_clock_offset += fault.delta; return;
+    case Kind::duplicate_process: {
+      int index = config_.members;
+      for (int i = 0; i < number; ++i) index += faults_[i].kind == Kind::duplicate_process;
+      machines_[index].storage_snapshots = machines_[fault.members[0]].storage_snapshots;
+      return boot(index, StorageOnRestart::outdated, 0);
     }
   }
 }
@@ -365,134 +373,142 @@
   active_.erase(number);
   switch (fault.kind) {
     case Kind::cut:
-    case Kind::islands: note("healed: %s", fault.told().c_str()); return flush_held();
-    case Kind::kill: return boot(fault.who[0], fault.folder, now_ - fault.at);
+    case Kind::partition: trace_line("fault over: %s", fault.describe().c_str()); return deliver_unblocked();
+    case Kind::kill: return boot(fault.members[0], fault.storage, now_ - fault.at);
     case Kind::stall: {
-      int place = fault.who[0];
-      if (machines_[place].state != Machine::State::stalled) return;
-      machines_[place].state = Machine::State::running;
-      note("member %d runs on", place);
-      // Its own timers come before what waits for it, or after.
-      if (share_of(mixed(seed_, 0x25, number)) < 0.5) {
-        auto inbox = std::move(waiting_[place].inbox);
-        waiting_[place].inbox.clear();
-        turn(place);
-        auto& now_there = waiting_[place].inbox;
-        now_there.insert(now_there.begin(), inbox.begin(), inbox.end());
+      int index = fault.members[0];
+      if (machines_[index].state != Machine::State::stalled) return;
+      machines_[index].state = Machine::State::running;
+      trace_line("member %d resumed", index);
+      // Its own timers fire before the queued input or after it.
+      if (unit_interval(hash_values(seed_, 0x25, number)) < 0.5) {
+        auto inbox = std::move(turn_states_[index].inbox);
+        turn_states_[index].inbox.clear();
+        run_turn(index);
+        auto& current_inbox = turn_states_[index].inbox;
+        current_inbox.insert(current_inbox.begin(), inbox.begin(), inbox.end());
       }
-      if (!waiting_[place].turn_posted)
-        waiting_[place].turn_posted = true, post(Event::Kind::turn, now_, place);
+      if (!turn_states_[index].turn_posted)
+        turn_states_[index].turn_posted = true, post(Event::Kind::turn, now_, index);
       return;
     }
-    case Kind::twin: {
-      int place = shape_.members;
-      for (int i = 0; i < number; ++i) place += faults_[i].kind == Kind::twin;
-      return end_process(place, false);
+    case Kind::duplicate_process: {
+      int index = config_.members;
+      for (int i = 0; i < number; ++i) index += faults_[i].kind == Kind::duplicate_process;
+      return end_process(index, false);
     }
     default: return;
   }
 }
 
-// A connection over which nothing goes in one of its directions ends after a while.
-void World::blocked_now(const Fault& fault, int number) {
-  if (shape_.datagrams) return;
+// A connection that is blocked in either direction ends after the silence timeout.
+void World::schedule_silence_timeouts(const Fault& fault, int number) {
+  if (config_.datagrams) return;
   for (int a = 0; a < machines(); ++a)
     for (int b = 0; b < machines(); ++b) {
-      if (a == b || !way(a, b).up) continue;
+      if (a == b || !connection_at(a, b).up) continue;
       int x = machines_[a].member, y = machines_[b].member;
-      if (!fault.stops(x, y, now_) && !fault.stops(y, x, now_)) continue;
-      auto drawn = share_of(mixed(seed_, 0x26, a, b, number));
-      post(Event::Kind::silent, now_ + silent_least + (silent_most - silent_least) * drawn, a, b,
-           way(a, b).generation);
+      if (!fault.blocks(x, y, now_) && !fault.blocks(y, x, now_)) continue;
+      auto drawn = unit_interval(hash_values(seed_, 0x26, a, b, number));
+      post(Event::Kind::silence_timeout,
+           now_ + min_silence_timeout + (max_silence_timeout - min_silence_timeout) * drawn, a, b,
+           connection_at(a, b).generation);
     }
 }
 
-void World::flush_held() {
-  for (auto it = holding_.begin(); it != holding_.end();) {
+void World::deliver_unblocked() {
+  for (auto it = blocked_connections_.begin(); it != blocked_connections_.end();) {
     auto [from, to] = *it;
-    if (!reaches(from, to)) {
+    if (!can_reach(from, to)) {
       ++it;
       continue;
     }
-    it = holding_.erase(it);
-    for (auto& input : std::exchange(way(from, to).held, {})) deliver(from, to, std::move(input), true);
+    it = blocked_connections_.erase(it);
+    for (auto& input : std::exchange(connection_at(from, to).blocked, {}))
+      deliver(from, to, std::move(input), true);
   }
 }
 
-void World::redial(int from, int to) {
-  auto& link = way(from, to);
-  if (to >= shape_.members || link.up || link.dialling || machines_[from].state == Machine::State::off)
+void World::schedule_dial(int from, int to) {
+  auto& connection = connection_at(from, to);
+  if (to >= config_.members || connection.up || connection.dialling ||
+      machines_[from].state == Machine::State::off)
     return;
-  link.dialling = true;
-  auto drawn = share_of(mixed(seed_, 0x27, from, to, ++link.count));
-  auto pause = link.failures == 0 ? 5 * drawn
-                                  : std::min(redial_most, redial_first * std::pow(2, link.failures - 1)) *
-                                        (0.75 + 0.5 * drawn);
+  connection.dialling = true;
+  auto drawn = unit_interval(hash_values(seed_, 0x27, from, to, ++connection.draws));
+  auto pause = connection.failures == 0
+                   ? 5 * drawn
+                   : std::min(max_redial_delay, min_redial_delay * std::pow(2, connection.failures - 1)) *
+                         (0.75 + 0.5 * drawn);
   post(Event::Kind::dial, now_ + pause, from, to);
 }
 
-// Another process of the member, in a newer life, is heard there: this one is not.
-bool World::newer_life_reaches(int member, int than, int other) {
+// True where another process of the member, of a newer incarnation, is connected to `other`, which then
+// ignores the older one.
+bool World::newer_incarnation_connected(int member, int own_index, int other) {
   for (int i = 0; i < machines(); ++i)
-    if (i != than && machines_[i].member == member && machines_[i].state != Machine::State::off &&
-        way(i, other).up && machines_[i].life > machines_[than].life)
+    if (i != own_index && machines_[i].member == member && machines_[i].state != Machine::State::off &&
+        connection_at(i, other).up && machines_[i].incarnation > machines_[own_index].incarnation)
       return true;
   return false;
 }
 
 void World::dial(int from, int to) {
-  auto& link = way(from, to);
-  link.dialling = false;
-  if (machines_[from].state == Machine::State::off || link.up) return;
-  bool answered = running(from) && running(to) && reaches(from, to) && reaches(to, from) &&
-                  !newer_life_reaches(machines_[from].member, from, to) &&
-                  !newer_life_reaches(machines_[to].member, to, from);
+  auto& connection = connection_at(from, to);
+  connection.dialling = false;
+  if (machines_[from].state == Machine::State::off || connection.up) return;
+  bool answered = is_running(from) && is_running(to) && can_reach(from, to) && can_reach(to, from) &&
+                  !newer_incarnation_connected(machines_[from].member, from, to) &&
+                  !newer_incarnation_connected(machines_[to].member, to, from);
   if (!answered) {
-    link.failures = std::min(link.failures + 1, 16);
-    return redial(from, to);
+    connection.failures = std::min(connection.failures + 1, 16);
+    return schedule_dial(from, to);
   }
-  link.dialling = true;
-  ++link.generation;
-  post(Event::Kind::greeted, now_ + trips_to_greet * crossing(from, to, link.count++), from, to,
-       link.generation);
+  connection.dialling = true;
+  ++connection.generation;
+  post(Event::Kind::handshake_done, now_ + handshake_crossings * latency(from, to, connection.draws++), from,
+       to, connection.generation);
 }
 
-void World::greeted(int from, int to, std::uint64_t generation) {
-  auto& link = way(from, to);
-  link.dialling = false;
-  if (link.generation != generation || link.up || machines_[from].state == Machine::State::off) return;
-  if (!running(to) || !reaches(from, to) || !reaches(to, from)) {
-    link.failures = std::min(link.failures + 1, 16);
-    return redial(from, to);
+void World::finish_handshake(int from, int to, std::uint64_t generation) {
+  auto& connection = connection_at(from, to);
+  connection.dialling = false;
+  if (connection.generation != generation || connection.up || machines_[from].state == Machine::State::off)
+    return;
+  if (!is_running(to) || !can_reach(from, to) || !can_reach(to, from)) {
+    connection.failures = std::min(connection.failures + 1, 16);
+    return schedule_dial(from, to);
   }
-  link.up = true, link.broken = false, link.failures = 0, link.life = machines_[to].life;
-  link.held.clear();
+  connection.up = true, connection.broken = false, connection.failures = 0,
+  connection.incarnation = machines_[to].incarnation;
+  connection.blocked.clear();
   auto input = std::make_shared<Input>();
-  input->kind = Input::Kind::up, input->from = to, input->life = link.life;
+  input->kind = Input::Kind::up, input->from = to, input->incarnation = connection.incarnation;
   arrive(from, std::move(input));
-  // The other hears of a newer life before anything that this one says, whatever its own dial still holds.
-  auto& back = way(to, from);
-  if (back.up && back.life < machines_[from].life) {
-    back.up = false, ++back.generation, back.held.clear();
+  // The other side learns of the newer incarnation before any message of it, even while its own connection to
+  // the older one is up.
+  auto& back = connection_at(to, from);
+  if (back.up && back.incarnation < machines_[from].incarnation) {
+    back.up = false, ++back.generation, back.blocked.clear();
     auto gone = std::make_shared<Input>();
-    gone->kind = Input::Kind::down, gone->from = from, gone->life = back.life;
+    gone->kind = Input::Kind::down, gone->from = from, gone->incarnation = back.incarnation;
     arrive(to, std::move(gone));
     back.failures = 0;
-    redial(to, from);
+    schedule_dial(to, from);
   }
-  // An older life of the same member is shut out, both ways.
+  // Connections of older incarnations of the same member are closed in both directions.
   for (int i = 0; i < machines(); ++i)
     if (i != from && machines_[i].member == machines_[from].member &&
-        machines_[i].life < machines_[from].life)
-      break_off(i, to, 2), break_off(to, i, 0);
+        machines_[i].incarnation < machines_[from].incarnation)
+      break_connection(i, to, 2), break_connection(to, i, 0);
 }
 
-void World::break_off(int from, int to, Millis noticed_in) {
-  auto& link = way(from, to);
-  if (!link.up || link.broken) return;
-  link.broken = true, link.failures = 1;
-  link.held.clear();
-  post(Event::Kind::lost, now_ + noticed_in, from, to, link.generation);
+void World::break_connection(int from, int to, Millis detection_delay) {
+  auto& connection = connection_at(from, to);
+  if (!connection.up || connection.broken) return;
+  connection.broken = true, connection.failures = 1;
+  connection.blocked.clear();
+  post(Event::Kind::connection_lost, now_ + detection_delay, from, to, connection.generation);
 }
 
 void World::send(int from, int to, Payload&& payload) {
@@ -506,123 +522,127 @@
         bytes[channel] += packed.size();
       },
       payload);
-  fold(static_cast<std::uint64_t>(from) << 32 | static_cast<std::uint32_t>(to), channel, content);
-  if (text_) {
+  add_to_digest(static_cast<std::uint64_t>(from) << 32 | static_cast<std::uint32_t>(to), channel, content);
+  if (record_trace_) {
     char line[120];
     std::snprintf(line, sizeof line, "%11.3f %d to %d channel %zu %016llx\n", now_, from, to, channel + 1,
                   static_cast<unsigned long long>(content));
     trace_ += line;
   }
   auto input = std::make_shared<Input>();
-  input->kind = Input::Kind::message, input->from = from, input->life = machines_[from].life;
+  input->kind = Input::Kind::message, input->from = from, input->incarnation = machines_[from].incarnation;
   input->payload = std::make_shared<const Payload>(std::move(payload));
-  if (shape_.datagrams) {
-    if (machines_[to].state == Machine::State::off || !reaches(from, to)) return;
-    auto& count = way(from, to).count;
+  if (config_.datagrams) {
+    if (machines_[to].state == Machine::State::off || !can_reach(from, to)) return;
+    auto& count = connection_at(from, to).draws;
     for (int copy = 0; copy < 2; ++copy) {
-      auto drawn = mixed(seed_, 0x29, from, to, ++count);
-      if (copy == 1 && share_of(drawn) >= shape_.doubled) return;
-      if (share_of(mixed(drawn, 3)) < shape_.lost) continue;
-      auto at =
-          now_ + crossing(from, to, count) * (share_of(mixed(drawn, 4)) < 0.1 ? 1 + 3 * share_of(drawn) : 1);
-      post(Event::Kind::input, at + slowed(from, to), from, to, 0, input);
+      auto drawn = hash_values(seed_, 0x29, from, to, ++count);
+      if (copy == 1 && unit_interval(drawn) >= config_.duplication_rate) return;
+      if (unit_interval(hash_values(drawn, 3)) < config_.loss_rate) continue;
+      auto at = now_ + latency(from, to, count) *
+                           (unit_interval(hash_values(drawn, 4)) < 0.1 ? 1 + 3 * unit_interval(drawn) : 1);
+      post(Event::Kind::input, at + extra_delay(from, to), from, to, 0, input);
     }
     return;
   }
-  auto& link = way(from, to);
-  if (!link.up || link.broken) return;
-  input->generation = link.generation;
+  auto& connection = connection_at(from, to);
+  if (!connection.up || connection.broken) return;
+  input->generation = connection.generation;
   deliver(from, to, std::move(input));
 }
 
-void World::deliver(int from, int to, std::shared_ptr<Input> input, bool again) {
-  auto& link = way(from, to);
-  if (link.generation != input->generation || link.broken) return;
-  if (!link.held.empty() || !reaches(from, to)) {
-    link.held.push_back(std::move(input));
-    holding_.insert({from, to});
+void World::deliver(int from, int to, std::shared_ptr<Input> input, bool resent) {
+  auto& connection = connection_at(from, to);
+  if (connection.generation != input->generation || connection.broken) return;
+  if (!connection.blocked.empty() || !can_reach(from, to)) {
+    connection.blocked.push_back(std::move(input));
+    blocked_connections_.insert({from, to});
     return;
   }
-  auto count = link.count++;
-  auto at = now_ + crossing(from, to, count);
-  if (again) at += resent_most * share_of(mixed(seed_, 0x2a, from, to, count));
-  link.last = std::max(at + slowed(from, to), link.last);
-  post(Event::Kind::input, link.last, from, to, 0, std::move(input));
+  auto count = connection.draws++;
+  auto at = now_ + latency(from, to, count);
+  if (resent) at += max_resend_delay * unit_interval(hash_values(seed_, 0x2a, from, to, count));
+  connection.last_arrival = std::max(at + extra_delay(from, to), connection.last_arrival);
+  post(Event::Kind::input, connection.last_arrival, from, to, 0, std::move(input));
 }
 
-// A datagram names its sender's life: the first of a newer one says that the peer began anew, and what an
-// older one left on its way is not heard.
-bool World::datagram_of_newest(int from, int to, fleet::Incarnation life) {
-  auto& known = way(from, to).life;
-  if (life < known) return false;
-  if (known.number > 0 && life > known)
+// A datagram carries its sender's incarnation. The first one of a newer incarnation reports a restart of the
+// peer; datagrams of older incarnations are dropped.
+bool World::accept_datagram(int from, int to, fleet::Incarnation incarnation) {
+  auto& known = connection_at(from, to).incarnation;
+  if (incarnation < known) return false;
+  if (known.number > 0 && incarnation > known)
     for (bool up : {false, true}) {
       auto input = std::make_shared<Input>();
       input->kind = up ? Input::Kind::up : Input::Kind::down, input->from = from,
-      input->life = up ? life : known;
+      input->incarnation = up ? incarnation : known;
       arrive(to, std::move(input));
     }
-  known = life;
+  known = incarnation;
   return true;
 }
 
-void World::arrive(int place, std::shared_ptr<Input> input) {
-  if (machines_[place].state == Machine::State::off) return;
-  auto& waiting = waiting_[place];
-  waiting.inbox.push_back(std::move(input));
-  if (waiting.turn_posted || machines_[place].state == Machine::State::stalled) return;
-  waiting.turn_posted = true;
-  post(Event::Kind::turn, now_ + latest_turn * share_of(mixed(seed_, 0x2b, place, ++waiting.turns)), place);
+void World::arrive(int index, std::shared_ptr<Input> input) {
+  if (machines_[index].state == Machine::State::off) return;
+  auto& turn_state = turn_states_[index];
+  turn_state.inbox.push_back(std::move(input));
+  if (turn_state.turn_posted || machines_[index].state == Machine::State::stalled) return;
+  turn_state.turn_posted = true;
+  post(Event::Kind::turn,
+       now_ + max_turn_delay * unit_interval(hash_values(seed_, 0x2b, index, ++turn_state.turns)), index);
 }
 
-Millis World::take_in(int place, const std::vector<std::shared_ptr<Input>>& inbox, Outbox& outbox) {
-  auto& modules = *machines_[place].modules;
-  modules.begin(local(place));
+Millis World::process_inputs(int index, const std::vector<std::shared_ptr<Input>>& inbox, Outbox& outbox) {
+  auto& process = *machines_[index].process;
+  process.begin_turn(local_time(index));
   for (const auto& input : inbox) {
-    if (input->kind == Input::Kind::work) {
-      modules.work(input->what);
+    if (input->kind == Input::Kind::task) {
+      process.run_task(input->task);
       continue;
     }
     auto peer = roster_[machines_[input->from].member].id;
     if (input->kind != Input::Kind::message)
-      note("member %d: link to %d %s", machines_[place].member, machines_[input->from].member,
-           input->kind == Input::Kind::up ? "up" : "down");
+      trace_line("member %d: connection to %d %s", machines_[index].member, machines_[input->from].member,
+                 input->kind == Input::Kind::up ? "up" : "down");
     switch (input->kind) {
-      case Input::Kind::up: modules.linked(peer, input->life, true); break;
-      case Input::Kind::down: modules.linked(peer, input->life, false); break;
-      case Input::Kind::message: modules.heard(peer, *input->payload); break;
-      case Input::Kind::work: break;
+      case Input::Kind::up: process.on_link_change(peer, input->incarnation, true); break;
+      case Input::Kind::down: process.on_link_change(peer, input->incarnation, false); break;
+      case Input::Kind::message: process.on_message(peer, *input->payload); break;
+      case Input::Kind::task: break;
     }
   }
-  return modules.decide(outbox);
+  return process.decide(outbox);
 }
 
-void World::turn(int place) {
-  auto& waiting = waiting_[place];
-  auto& machine = machines_[place];
-  waiting.turn_posted = false;
+void World::run_turn(int index) {
+  auto& turn_state = turn_states_[index];
+  auto& machine = machines_[index];
+  turn_state.turn_posted = false;
   if (machine.state != Machine::State::running) return;
-  auto inbox = std::exchange(waiting.inbox, {});
+  auto inbox = std::exchange(turn_state.inbox, {});
   Outbox outbox;
   Millis wake_in = -1;
   try {
-    wake_in = take_in(place, inbox, outbox);
+    wake_in = process_inputs(index, inbox, outbox);
   } catch (const fleet::FleetError& error) {
-    broken("refused", "member %d refuses what an honest member sent: %s", machine.member, error.what());
+    report_violation("refused", "member %d refused a message of a correct member: %s", machine.member,
+                     error.what());
   }
   for (auto& [to, payload] : outbox) {
-    auto found = places_.find(to);
-    if (found != places_.end() && found->second != machine.member)
-      send(place, found->second, std::move(payload));
+    auto found = index_by_member_.find(to);
+    if (found != index_by_member_.end() && found->second != machine.member)
+      send(index, found->second, std::move(payload));
   }
-  ++waiting.wake;
-  if (now_ - waiting.second >= 1000) waiting.second = now_, waiting.turns_since = 0;
-  if (++waiting.turns_since > turns_most)
-    broken("turns", "member %d takes more than %d turns a second", machine.member, turns_most);
+  ++turn_state.wake_generation;
+  if (now_ - turn_state.window_start >= 1000) turn_state.window_start = now_, turn_state.turns_in_window = 0;
+  if (++turn_state.turns_in_window > max_turns_per_second)
+    report_violation("turns", "member %d takes more than %d turns a second", machine.member,
+                     max_turns_per_second);
   if (wake_in >= 0)
     post(Event::Kind::wake,
-         now_ + wake_in / machine.rate + latest_turn * share_of(mixed(seed_, 0x2c, place, waiting.wake)),
-         place, 0, waiting.wake);
+         now_ + wake_in / machine.rate +
+             max_turn_delay * unit_interval(hash_values(seed_, 0x2c, index, turn_state.wake_generation)),
+         index, 0, turn_state.wake_generation);
 }
 
 }  // namespace rockcrank::model
--- a/tests/model/model_test.cpp
+++ b/tests/model/model_test.cpp
@@ -1,6 +1,6 @@
-// Tests of the model itself: its kernel with a small module of the test's own, that a seed gives one trace in
-// any number of threads, that each check finds the fault planted for it, and that seeds which once broke
-// hold.
+// Tests of the simulation itself: its kernel with a small process of the test's own, that a seed gives the
+// same trace with any number of threads, that each check finds the fault injected for it, and that seeds
+// which once failed now hold.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,27 +15,27 @@
 namespace rockcrank::model {
 namespace {
 
-// Sends each peer a number each 20 ms, counted anew for each connection that it dialled, and hears the
-// others'.
-struct Counting : Modules {
-  std::function<void(fleet::MemberId from, std::uint64_t number)> on_heard;
-  std::function<void(fleet::MemberId peer, bool up)> on_linked;
+// Sends each peer an increasing number every 20 ms, restarting with each connection that it dialled, and
+// receives those of the others.
+struct Counting : Process {
+  std::function<void(fleet::MemberId from, std::uint64_t number)> on_received;
+  std::function<void(fleet::MemberId peer, bool up)> on_link;
   std::map<fleet::MemberId, std::uint64_t> sent;
   std::set<fleet::MemberId> peers;
   Millis now = 0, due = 0;
-  void begin(Millis at) override {
+  void begin_turn(Millis at) override {
     EXPECT_GE(at, now);
     now = at;
   }
-  void linked(fleet::MemberId peer, fleet::Incarnation, bool up) override {
-    on_linked(peer, up);
+  void on_link_change(fleet::MemberId peer, fleet::Incarnation, bool up) override {
+    on_link(peer, up);
     if (up) peers.insert(peer), sent[peer] = 0;
     else peers.erase(peer);
   }
-  void heard(fleet::MemberId from, const Payload& payload) override {
-    on_heard(from, std::get<fleet::MembershipMessage>(payload).sequence);
+  void on_message(fleet::MemberId from, const Payload& payload) override {
+    on_received(from, std::get<fleet::MembershipMessage>(payload).sequence);
   }
-  void work(std::uint64_t) override {}
+  void run_task(std::uint64_t) override {}
   Millis decide(Outbox& outbox) override {
     if (now >= due) {
       due = now + 20;
@@ -49,54 +49,55 @@
   }
 };
 
-struct CountingTrial : Trial {
-  std::map<std::pair<int, fleet::MemberId>, std::uint64_t> last;  // heard, over the newest connection
+struct CountingWorkload : Workload {
+  std::map<std::pair<int, fleet::MemberId>, std::uint64_t> last;  // received over the newest connection
   std::map<std::pair<int, fleet::MemberId>, bool> up;
   std::map<std::pair<int, int>, Millis> last_at;
-  int heard = 0, downs = 0, kills = 0, again = 0;
-  std::unique_ptr<Modules> boot(World& world, int place, const std::any&, Millis) override {
+  int received = 0, downs = 0, kills = 0, again = 0;
+  std::unique_ptr<Process> boot(World& world, int index, const std::any&, Millis) override {
     auto counting = std::make_unique<Counting>();
     for (auto& [at, number] : last)
-      if (at.first == place) number = 0;
+      if (at.first == index) number = 0;
     for (auto& [at, is_up] : up)
-      if (at.first == place) is_up = false;
-    counting->on_linked = [this, place](fleet::MemberId peer, bool is_up) {
-      EXPECT_NE((up[{place, peer}]), is_up);
-      up[{place, peer}] = is_up, downs += !is_up;
+      if (at.first == index) is_up = false;
+    counting->on_link = [this, index](fleet::MemberId peer, bool is_up) {
+      EXPECT_NE((up[{index, peer}]), is_up);
+      up[{index, peer}] = is_up, downs += !is_up;
     };
-    counting->on_heard = [this, place, &world](fleet::MemberId from, std::uint64_t number) {
-      ++heard;
-      last_at[{world.place_of(from), place}] = world.now();
-      auto& before = last[{place, from}];
+    counting->on_received = [this, index, &world](fleet::MemberId from, std::uint64_t number) {
+      ++received;
+      last_at[{world.index_of(from), index}] = world.now();
+      auto& before = last[{index, from}];
       EXPECT_TRUE(number == before + 1 || number == 1)
-          << "a message lost, doubled or out of order within a connection";
+          << "a message was lost, duplicated or reordered within a connection";
       again += number == 1 && before > 0;
       before = number;
     };
     return counting;
   }
-  void killed(World&, int) override { ++kills; }
+  void on_process_end(World&, int) override { ++kills; }
 };
 
-Shape small() {
-  Shape shape;
-  shape.members = 4, shape.halls = 2, shape.far = 8;
-  shape.warm_up = 500, shape.healed = 20000, shape.end = 30000;
-  return shape;
+RunConfig small_config() {
+  RunConfig config;
+  config.members = 4, config.zones = 2, config.farthest_zone_delay = 8;
+  config.faults_from = 500, config.faults_until = 20000, config.end = 30000;
+  return config;
 }
 
 TEST(ModelKernel, ConnectionsKeepOrderAndLoseOnlyAtTheirEnd) {
   int downs = 0, kills = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    CountingTrial trial;
-    World world(small(), seed, draw_faults(small(), {}, seed), trial, false);
+    CountingWorkload workload;
+    World world(small_config(), seed, draw_faults(small_config(), {}, seed), workload, false);
     world.run();
-    EXPECT_GT(trial.heard, 1000);
-    downs += trial.downs, kills += trial.kills;
-    EXPECT_LE(trial.again, trial.downs + 3 * trial.kills);
-    for (const auto& [link, at] : trial.last_at) {
-      bool both = world.running(link.first) && world.running(link.second);
-      EXPECT_TRUE(!both || at > world.now() - 500) << "nothing goes over a healed link, seed " << seed;
+    EXPECT_GT(workload.received, 1000);
+    downs += workload.downs, kills += workload.kills;
+    EXPECT_LE(workload.again, workload.downs + 3 * workload.kills);
+    for (const auto& [link, at] : workload.last_at) {
+      bool both = world.is_running(link.first) && world.is_running(link.second);
+      EXPECT_TRUE(!both || at > world.now() - 500)
+          << "no messages over a link after its faults ended, seed " << seed;
     }
   }
   EXPECT_GT(downs, 20);
@@ -105,18 +106,18 @@
 
 TEST(ModelKernel, CutOneWayStopsThatWayAloneAndThenTheConnection) {
   Fault cut;
-  cut.kind = Fault::Kind::cut, cut.at = 5000, cut.until = 15000, cut.who = {0}, cut.whom = {1};
-  CountingTrial trial;
-  auto shape = small();
-  shape.end = 6000;
-  World world(shape, 1, {cut}, trial, false);
+  cut.kind = Fault::Kind::cut, cut.at = 5000, cut.until = 15000, cut.members = {0}, cut.peers = {1};
+  CountingWorkload workload;
+  auto config = small_config();
+  config.end = 6000;
+  World world(config, 1, {cut}, workload, false);
   world.run();
-  EXPECT_LT((trial.last_at[{0, 1}]), 5100);
-  EXPECT_GT((trial.last_at[{1, 0}]), 5900);
-  EXPECT_EQ(trial.downs, 0);
-  CountingTrial later;
-  shape.end = 14000;
-  World longer(shape, 1, {cut}, later, false);
+  EXPECT_LT((workload.last_at[{0, 1}]), 5100);
+  EXPECT_GT((workload.last_at[{1, 0}]), 5900);
+  EXPECT_EQ(workload.downs, 0);
+  CountingWorkload later;
+  config.end = 14000;
+  World longer(config, 1, {cut}, later, false);
   longer.run();
   EXPECT_EQ(later.downs, 2);
   EXPECT_LT((later.last_at[{1, 0}]), 13000);
@@ -124,39 +125,39 @@
 
 TEST(ModelKernel, StalledProcessDoesNothingAndItsClockJumps) {
   Fault stall;
-  stall.kind = Fault::Kind::stall, stall.at = 5000, stall.until = 6000, stall.who = {2};
-  CountingTrial trial;
-  auto shape = small();
-  shape.end = 5990;
-  World world(shape, 1, {stall}, trial, false);
+  stall.kind = Fault::Kind::stall, stall.at = 5000, stall.until = 6000, stall.members = {2};
+  CountingWorkload workload;
+  auto config = small_config();
+  config.end = 5990;
+  World world(config, 1, {stall}, workload, false);
   world.run();
-  EXPECT_LT((trial.last_at[{2, 0}]), 5100);
-  EXPECT_LT((trial.last_at[{0, 2}]), 5100);
-  CountingTrial later;
-  shape.end = 6100;
-  World longer(shape, 1, {stall}, later, false);
+  EXPECT_LT((workload.last_at[{2, 0}]), 5100);
+  EXPECT_LT((workload.last_at[{0, 2}]), 5100);
+  CountingWorkload later;
+  config.end = 6100;
+  World longer(config, 1, {stall}, later, false);
   longer.run();
   EXPECT_GT((later.last_at[{2, 0}]), 6000);
 }
 
 TEST(ModelKernel, DatagramsAreLostAndDoubled) {
-  struct Tally : Trial {
+  struct Tally : Workload {
     std::map<std::uint64_t, int> times;
-    std::unique_ptr<Modules> boot(World&, int place, const std::any&, Millis) override {
+    std::unique_ptr<Process> boot(World&, int index, const std::any&, Millis) override {
       auto counting = std::make_unique<Counting>();
-      counting->on_linked = [](fleet::MemberId, bool) {};
-      counting->on_heard = [this, place](fleet::MemberId, std::uint64_t number) {
-        times[number] += place == 0;
+      counting->on_link = [](fleet::MemberId, bool) {};
+      counting->on_received = [this, index](fleet::MemberId, std::uint64_t number) {
+        times[number] += index == 0;
       };
       return counting;
     }
-  } trial;
-  auto shape = small();
-  shape.members = 3, shape.datagrams = true, shape.lost = 0.2, shape.doubled = 0.2;
-  World world(shape, 7, {}, trial, false);
+  } workload;
+  auto config = small_config();
+  config.members = 3, config.datagrams = true, config.loss_rate = 0.2, config.duplication_rate = 0.2;
+  World world(config, 7, {}, workload, false);
   world.run();
   int lost = 0, more = 0;
-  for (const auto& [number, times] : trial.times) lost += times<2, more += times> 2;
+  for (const auto& [number, times] : workload.times) lost += times<2, more += times> 2;
   EXPECT_GT(lost, 50);
   EXPECT_GT(more, 50);
 }
@@ -176,7 +177,7 @@
   for (const auto& part : parts()) {
     std::vector<std::uint64_t> digests[2];
     for (int threads : {1, 4})
-      run_seeds(part, 1, 24, {}, threads, [&](const Result& result) {
+      run_seeds(part, 1, 24, {}, threads, [&](const RunResult& result) {
         digests[threads > 1].push_back(result.digest);
         return true;
       });
@@ -186,33 +187,37 @@
 }
 
 TEST(Model, FaultsThatDoNotMatterAreLeftOut) {
-  struct Fragile : CountingTrial {
-    void killed(World& world, int place) override { world.broken("ended", "member %d", place); }
+  struct Fragile : CountingWorkload {
+    void on_process_end(World& world, int index) override {
+      world.report_violation("ended", "member %d", index);
+    }
   };
   Part part;
   part.name = "fragile";
-  part.shape = [](Chance&, int) { return small(); };
-  part.make = [](const Order&) -> std::unique_ptr<Trial> { return std::make_unique<Fragile>(); };
-  part.weather.most = 12;
+  part.draw_config = [](RandomSource&, int) { return small_config(); };
+  part.make_workload = [](const RunOptions&) -> std::unique_ptr<Workload> {
+    return std::make_unique<Fragile>();
+  };
+  part.fault_profile.max_faults = 12;
   for (std::uint64_t seed = 1;; ++seed) {
     auto result = run_seed(part, seed, {}, false);
     if (result.holds || result.faults.size() < 6) continue;
-    auto brief = shortest(part, result, {});
-    EXPECT_FALSE(brief.holds);
-    EXPECT_EQ(brief.faults.size(), 1u) << story(brief);
+    auto shrunk = shrink(part, result, {});
+    EXPECT_FALSE(shrunk.holds);
+    EXPECT_EQ(shrunk.faults.size(), 1u) << failure_report(shrunk);
     break;
   }
 }
 
-// Each check finds its planted fault, by its own name.
+// Each check finds the fault injected for it, and reports it under its own name.
 class Plant : public testing::TestWithParam<std::tuple<std::string, std::string, std::string>> {};
 TEST_P(Plant, IsFound) {
   const auto& [name, plant, check] = GetParam();
   auto part = std::find_if(parts().begin(), parts().end(), [&](const Part& one) { return one.name == name; });
-  Order order;
-  order.plant = plant;
+  RunOptions options;
+  options.injected_fault = plant;
   std::set<std::string> found;
-  run_seeds(*part, 1, 300, order, 4, [&](const Result& result) {
+  run_seeds(*part, 1, 300, options, 4, [&](const RunResult& result) {
     if (!result.holds) found.insert(result.check);
     return found.count(check) == 0;
   });
@@ -221,7 +226,7 @@
 std::vector<std::tuple<std::string, std::string, std::string>> all_plants() {
   std::vector<std::tuple<std::string, std::string, std::string>> all;
   for (const auto& part : parts())
-    for (const auto& [plant, check] : part.plants) all.emplace_back(part.name, plant, check);
+    for (const auto& [plant, check] : part.injected_faults) all.emplace_back(part.name, plant, check);
   return all;
 }
 GTEST_ALLOW_UNINSTANTIATED_PARAMETERIZED_TEST(Plant);
@@ -231,48 +236,49 @@
   return name;
 });
 
-struct Told {
+struct StoredSeed {
   std::string part, state, line;
   std::uint64_t seed = 0;
-  Order order;
+  RunOptions options;
 };
-std::vector<Told> told_seeds() {
-  std::vector<Told> all;
+std::vector<StoredSeed> read_stored_seeds() {
+  std::vector<StoredSeed> all;
   std::ifstream file(MODEL_SEEDS);
   EXPECT_TRUE(file.is_open());
   for (std::string line; std::getline(file, line);) {
     if (line.empty() || line[0] == '#') continue;
     std::istringstream words(line);
-    Told told;
-    EXPECT_TRUE(words >> told.part >> told.seed >> told.order.relays >> told.state) << line;
-    EXPECT_TRUE(told.state == "holds" || told.state == "open") << line;
-    told.line = line;
-    all.push_back(told);
+    StoredSeed stored;
+    EXPECT_TRUE(words >> stored.part >> stored.seed >> stored.options.relays >> stored.state) << line;
+    EXPECT_TRUE(stored.state == "holds" || stored.state == "open") << line;
+    stored.line = line;
+    all.push_back(stored);
   }
   return all;
 }
 
 TEST(Model, SeedsThatOnceBrokeHold) {
-  for (const auto& told : told_seeds())
+  for (const auto& stored : read_stored_seeds())
     for (const auto& part : parts()) {
-      if (part.name != told.part || told.state != "holds") continue;
-      auto result = run_seed(part, told.seed, told.order, false);
-      EXPECT_TRUE(result.holds) << told.line << "\n" << result.check << ": " << result.seen;
+      if (part.name != stored.part || stored.state != "holds") continue;
+      auto result = run_seed(part, stored.seed, stored.options, false);
+      EXPECT_TRUE(result.holds) << stored.line << "\n" << result.check << ": " << result.details;
     }
 }
 
-// The first seeds of each part hold, but for those that the file says are open.
+// The first seeds of each part hold, except those that the file lists as open.
 TEST(Model, DrawnSeedsHold) {
   for (const auto& part : parts()) {
     std::set<std::uint64_t> open;
-    for (const auto& told : told_seeds())
-      if (told.part == part.name && told.state == "open" && told.order.relays == 0) open.insert(told.seed);
-    run_seeds(part, 1, 60, {}, 4, [&](const Result& result) {
+    for (const auto& stored : read_stored_seeds())
+      if (stored.part == part.name && stored.state == "open" && stored.options.relays == 0)
+        open.insert(stored.seed);
+    run_seeds(part, 1, 60, {}, 4, [&](const RunResult& result) {
       if (open.count(result.seed))
         std::printf("open: %s seed %d\n", part.name.c_str(), static_cast<int>(result.seed));
       else
         EXPECT_TRUE(result.holds) << part.name << " seed " << result.seed << ", " << result.check << ": "
-                                  << result.seen;
+                                  << result.details;
       return true;
     });
   }
