--- a/src/model/cold_fleet.h
+++ b/src/model/cold_fleet.h
@@ -52,12 +52,11 @@
   LimitKnowledge limit_knowledge = LimitKnowledge::no;
   int endpoints = 1;
   int max_batch_size = 1;
-  double late_connection_share = 0;  // share of calls whose connection is delayed
-  Millis max_connection_delay = 0;   // upper bound of that delay
-  bool rejects_excess = false;       // calls above the current capacity are refused
-  bool host_knows_connections =
-      true;                    // the host reports whether a call used a new connection, as with sockets
-  bool relays_gossip = false;  // route statuses of one relay reach all others
+  double late_connection_share = 0;    // share of calls whose connection is delayed
+  Millis max_connection_delay = 0;     // upper bound of that delay
+  bool rejects_excess = false;         // calls above the current capacity are refused
+  bool host_knows_connections = true;  // whether the host reports new connections, as with sockets
+  bool relays_gossip = false;          // route statuses of one relay reach all others
   std::vector<Outage> outages;
   std::vector<Restart> restarts;
   std::string describe() const;  // one line
--- a/src/model/custody.cpp
+++ b/src/model/custody.cpp
@@ -23,15 +23,15 @@
 constexpr Millis lease = 2000, copy_timeout = 200, lifetime = 15000;
 constexpr Millis settle_time = 20000 + lifetime;
 constexpr Millis replica_recovery_time = 10000;  // a lost replica is replaced by then
-constexpr Millis quiet_before_kill =
-    5000;  // no other fault within this time before a kill, where no loss is allowed
+// Where no loss is allowed, there is no other fault within this time before a kill.
+constexpr Millis quiet_before_kill = 5000;
 constexpr Millis min_call_time = 1, max_call_time = 400;
 constexpr int max_transmissions = 4;
 
 struct StoredDocument {
   GlobalDocId id;
   int doc = 0, transmissions = 0;
-  bool binding = false, ended = false;
+  bool non_repeatable = false, ended = false;
   Millis expiry = 0;  // in virtual time, as of a wall clock
   std::string end;
   std::map<int, Millis> in_doubt;
@@ -68,7 +68,8 @@
     custody->on_link_change(peer, up);
   }
   void on_message(MemberId from, const Payload& message) override {
-    if (const auto* state = std::get_if<fleet::CustodyMessage>(&message)) custody->on_message(from, *state);
+    if (const auto* custody_message = std::get_if<fleet::CustodyMessage>(&message))
+      custody->on_message(from, *custody_message);
   }
   void run_task(std::uint64_t task) override { on_task(task); }
   Millis decide(Outbox& outbox) override {
@@ -98,7 +99,7 @@
       ExpectedDocument doc;
       doc.at = random.between(6000, world.config().faults_until),
       doc.index = random.uniform_below(world.config().members);
-      doc.binding = random.bernoulli(0.5), doc.expiry = doc.at + random.between(0.3, 1) * lifetime;
+      doc.non_repeatable = random.bernoulli(0.5), doc.expiry = doc.at + random.between(0.3, 1) * lifetime;
       docs_.push_back(doc);
       schedule_step(world, doc.at, {Step::submit, doc.index, 0, i, 0, {}, 0, 0});
     }
@@ -201,7 +202,7 @@
   struct ExpectedDocument {
     Millis at = 0, expiry = 0, accepted_at = 0, owner_died = -1;
     int index = 0;
-    bool binding = false, accepted = false, rejected = false, delivered = false, end_recorded = false;
+    bool non_repeatable = false, accepted = false, rejected = false, delivered = false, end_recorded = false;
     std::string reported_end;
     int run_count = 0;
     bool has_ended() const { return delivered || !reported_end.empty(); }
@@ -248,7 +249,7 @@
     DocumentState state;
     state.id = doc.id, state.record = std::to_string(doc.doc) + "/" + doc.end;
     state.time_left = doc.expiry - world.now();
-    state.transmission_count = doc.transmissions, state.replicate_before_send = doc.binding,
+    state.transmission_count = doc.transmissions, state.replicate_before_send = doc.non_repeatable,
     state.ended = doc.ended;
     state.acceptance_confirmed = docs_[doc.doc].accepted;
     for (const auto& [in_doubt_transmission, at] : doc.in_doubt)
@@ -269,7 +270,7 @@
     auto& expected = docs_[doc_number];
     expected.at = world.now();
     StoredDocument doc;
-    doc.doc = doc_number, doc.binding = expected.binding, doc.expiry = expected.expiry;
+    doc.doc = doc_number, doc.non_repeatable = expected.non_repeatable, doc.expiry = expected.expiry;
     auto number = ++node.storage.last_number;
     doc.id = node.custody->next_document_id(number);
     node.numbers[doc.id] = number, node.storage.docs[number] = doc, node.pending.insert(number);
@@ -302,7 +303,7 @@
     if (expected.accepted && expected.rejected)
       world.report_violation("answered-twice", "document %d: both accepted and rejected",
                              node.storage.docs[number].doc);
-    if (!accepted && expected.run_count > 0 && expected.binding)
+    if (!accepted && expected.run_count > 0 && expected.non_repeatable)
       world.report_violation("sent-unanswered", "document %d was sent and its client told to retry",
                              node.storage.docs[number].doc);
     if (!accepted) node.drop(number);
@@ -316,7 +317,7 @@
     if (!owns(node, doc)) return schedule_processing(world, index, number);
     bool late = world.now() >= doc.expiry || doc.transmissions >= max_transmissions;
     if (doc.ended || late ||
-        (doc.binding && !doc.in_doubt.empty() && options_.injected_fault != "risk-forgotten")) {
+        (doc.non_repeatable && !doc.in_doubt.empty() && options_.injected_fault != "risk-forgotten")) {
       if (!doc.ended) {
         doc.ended = true;
         doc.end =
@@ -359,10 +360,10 @@
     check_sole_owner(world, index, doc.doc, "sends");
     if (!expected.reported_end.empty())
       world.report_violation("sent-after-end", "document %d is sent after its end was reported", doc.doc);
-    if (expected.rejected && doc.binding)
+    if (expected.rejected && doc.non_repeatable)
       world.report_violation("sent-unanswered", "document %d is sent without having been accepted", doc.doc);
     int result = world.random().uniform_below(3);  // 0: never ran, 1: ran, 2: ran, but the result is unknown
-    if (result > 0 && ++expected.run_count > 1 && doc.binding)
+    if (result > 0 && ++expected.run_count > 1 && doc.non_repeatable)
       world.report_violation("ran-twice", "document %d, which is not repeatable, runs a second time",
                              doc.doc);
     Step call{Step::call_returned, index, world.machine(index).boots, doc.doc, number, doc.id,
@@ -454,7 +455,7 @@
     auto& doc = node.storage.docs[number];
     doc.id = state.id, doc.doc = std::stoi(state.record);
     doc.end = state.record.substr(state.record.find('/') + 1), doc.ended = state.ended;
-    doc.expiry = world.now() + state.time_left, doc.binding = state.replicate_before_send;
+    doc.expiry = world.now() + state.time_left, doc.non_repeatable = state.replicate_before_send;
     doc.transmissions = state.transmission_count, doc.in_doubt.clear();
     for (const auto& in_doubt_transmission : state.in_doubt)
       doc.in_doubt[in_doubt_transmission.number] = world.now() - in_doubt_transmission.age;
--- a/src/model/faults.cpp
+++ b/src/model/faults.cpp
@@ -150,10 +150,10 @@
         continue;
       } else if (kill) {
         fault.kind = Kind::kill, fault.abrupt = random.bernoulli(0.3);
-        auto folder = random.uniform();
-        fault.storage = folder < 0.6   ? StorageOnRestart::kept
-                        : folder < 0.8 ? StorageOnRestart::emptied
-                                       : StorageOnRestart::outdated;
+        auto storage = random.uniform();
+        fault.storage = storage < 0.6   ? StorageOnRestart::kept
+                        : storage < 0.8 ? StorageOnRestart::emptied
+                                        : StorageOnRestart::outdated;
         if (random.bernoulli(profile.permanent_kill_share)) fault.until = -1;
       } else if (profile.stalls) fault.kind = Kind::stall;
       else continue;
--- a/src/model/main.cpp
+++ b/src/model/main.cpp
@@ -92,7 +92,7 @@
       run_options.injected_fault = given["plant"].as<std::string>();
       std::erase_if(chosen, [&](const Part* part) {
         return std::none_of(part->injected_faults.begin(), part->injected_faults.end(),
-                            [&](const auto& plant) { return plant.first == run_options.injected_fault; });
+                            [&](const auto& fault) { return fault.first == run_options.injected_fault; });
       });
       cold_returns = false;
       if (chosen.empty()) throw BadArguments("--plant: unknown fault: '" + run_options.injected_fault + "'");
--- a/src/model/part.h
+++ b/src/model/part.h
@@ -17,8 +17,8 @@
 
 struct RunOptions {
   int relays = 0;  // 0: drawn from the seed
-  std::string
-      injected_fault;  // name of a fault injected into what a check observes; the check has to find it
+  // Name of a fault injected into what a check observes; the check has to find it.
+  std::string injected_fault;
   Samples* samples = nullptr;
 };
 
@@ -27,8 +27,8 @@
   RunConfig (*draw_config)(RandomSource& random, int relays);
   FaultProfile fault_profile;
   std::unique_ptr<Workload> (*make_workload)(const RunOptions& options);
-  std::vector<std::pair<std::string, std::string>>
-      injected_faults;  // name, and the check that has to find it
+  // The name of each, and the check that has to find it.
+  std::vector<std::pair<std::string, std::string>> injected_faults;
 };
 
 const std::vector<Part>& parts();
--- a/src/model/random.h
+++ b/src/model/random.h
@@ -20,9 +20,8 @@
   return sum;
 }
 
-inline double unit_interval(std::uint64_t drawn) {
-  return static_cast<double>(drawn >> 11) * 0x1p-53;
-}  // [0, 1)
+// Maps a random number to [0, 1).
+inline double unit_interval(std::uint64_t drawn) { return static_cast<double>(drawn >> 11) * 0x1p-53; }
 
 class RandomSource {
  public:
@@ -30,8 +29,8 @@
   std::uint64_t next() { return mix_bits(state_ += 0x9e3779b97f4a7c15ULL); }
   double uniform() { return unit_interval(next()); }
   double between(double low, double high) { return low + (high - low) * uniform(); }
-  int uniform_below(int most) { return static_cast<int>(next() % static_cast<std::uint64_t>(most)); }
-  bool bernoulli(double of_one) { return uniform() < of_one; }
+  int uniform_below(int bound) { return static_cast<int>(next() % static_cast<std::uint64_t>(bound)); }
+  bool bernoulli(double probability) { return uniform() < probability; }
 
  private:
   std::uint64_t state_;
--- a/src/model/registers.cpp
+++ b/src/model/registers.cpp
@@ -1,4 +1,4 @@
-// Workload of the shared registers. Invariants: news reaches every member in time, a retry-after wait is
+// Workload of the shared registers. Invariants: updates reach every member in time, a retry-after wait is
 // never longer than a relay was told and never shorter than known, copies agree after the faults end, the
 // last operator order wins, a restart keeps what was known, and the message rate per member is bounded. The
 // checks observe what a decision module would receive, and don't look at how copies are merged.
@@ -225,22 +225,22 @@
   }
 
   void check(World& world) override {
-    for (auto it = pending_news_.begin(); it != pending_news_.end();) {
-      auto& news = *it;
-      // A process that started after the news gets it by catching up instead.
-      std::erase_if(news.uninformed,
-                    [&](int i) { return !world.is_running(i) || views_[i].booted > news.at; });
-      if (news.uninformed.empty()) {
-        it = pending_news_.erase(it);
+    for (auto it = pending_updates_.begin(); it != pending_updates_.end();) {
+      auto& update = *it;
+      // A process that started after the update gets it by catching up instead.
+      std::erase_if(update.uninformed,
+                    [&](int i) { return !world.is_running(i) || views_[i].booted > update.at; });
+      if (update.uninformed.empty()) {
+        it = pending_updates_.erase(it);
         continue;
       }
-      if (fault_free_ && world.now() > news.at + max_spread(world))
+      if (fault_free_ && world.now() > update.at + max_spread(world))
         world.report_violation("spread", "member %d does not know after %.0f ms of %s, received by member %d",
-                               *news.uninformed.begin(), world.now() - news.at, news.name.c_str(),
-                               news.index);
-      // Newer news on the same subject replaces this one.
-      bool dropped = news.until > 0 && world.now() > news.until;
-      it = dropped ? pending_news_.erase(it) : std::next(it);
+                               *update.uninformed.begin(), world.now() - update.at, update.name.c_str(),
+                               update.index);
+      // A newer update of the same subject replaces this one.
+      bool dropped = update.until > 0 && world.now() > update.until;
+      it = dropped ? pending_updates_.erase(it) : std::next(it);
     }
     for (int i = 0; i < world.machines(); ++i) {
       auto& view = views_[i];
@@ -311,7 +311,7 @@
     Millis at = 0, end = 0;
     int index = 0;
   };
-  struct PendingNews {
+  struct PendingUpdate {
     Millis at = 0, until = 0, end = 0;
     Observation observation;
     int index = 0;
@@ -377,23 +377,23 @@
   void apply_observation(World& world, int index, const Observation& observation) {
     auto& node = *views_[index].node;
     auto& route = node.routes[observation.subject];
-    PendingNews news;
-    news.at = world.now(), news.observation = observation, news.index = index;
+    PendingUpdate update;
+    update.at = world.now(), update.observation = observation, update.index = index;
     char name[80];
     auto set_name = [&](const char* format, auto... values) {
       std::snprintf(name, sizeof name, format, values...);
     };
     switch (observation.kind) {
       case RegisterKind::retry_after: {
-        news.end = world.now() + observation.duration / world.machine(index).rate;
+        update.end = world.now() + observation.duration / world.machine(index).rate;
         bool later =
-            news.end > latest_wait_end(observation.subject) + 2 * drift_allowance(news.end, world.now());
-        waits_[observation.subject].push_back({world.now(), news.end, index});
+            update.end > latest_wait_end(observation.subject) + 2 * drift_allowance(update.end, world.now());
+        waits_[observation.subject].push_back({world.now(), update.end, index});
         route.own_end = std::max(route.own_end, node.now() + observation.duration);
         set_name("a wait of %.0f ms on %d", observation.duration, observation.subject);
         node.publish_route(observation.subject);
-        if (!later) news.at = -1;
-        news.until = news.end - 50;
+        if (!later) update.at = -1;
+        update.until = update.end - 50;
         break;
       }
       case RegisterKind::outage:
@@ -401,13 +401,13 @@
         if (route.state == observation.state) return;
         route.state = observation.state, route.state_seen_at = node.now();
         node.publish_route(observation.subject);
-        news.until = next_observation_time(observation);
+        update.until = next_observation_time(observation);
         break;
       case RegisterKind::rate_limit:
         set_name("a limit of %.0f on %d", observation.rate_limit, observation.subject);
         route.rate_limit = observation.rate_limit, route.limit_seen_at = node.now();
         node.publish_route(observation.subject);
-        news.at = -1;
+        update.at = -1;
         break;
       case RegisterKind::offline: {
         auto endpoint = subject_name(observation.subject);
@@ -434,16 +434,16 @@
           world.report_violation("order-taken", "member %d received %s, and has no newer record of it", index,
                                  name);
         if (!new_here) return;
-        news.until = next_observation_time(observation);
+        update.until = next_observation_time(observation);
         break;
       }
     }
     world.trace_line("member %d receives %s", index, name);
-    if (news.at < 0) return;
-    news.name = name;
+    if (update.at < 0) return;
+    update.name = name;
     for (int i = 0; i < world.machines(); ++i)
-      if (i != index && world.is_running(i)) news.uninformed.insert(i);
-    if (!news.uninformed.empty()) pending_news_.push_back(std::move(news));
+      if (i != index && world.is_running(i)) update.uninformed.insert(i);
+    if (!update.uninformed.empty()) pending_updates_.push_back(std::move(update));
   }
 
   // When the same subject changes next; 0: never.
@@ -494,27 +494,27 @@
                                  subject, known - end);
       }
     }
-    for (auto& news : pending_news_) {
-      if (!news.uninformed.count(index)) continue;
-      const auto& observation = news.observation;
-      bool knows =
-          observation.kind == RegisterKind::retry_after
-              ? known_end(world, index, observation.subject) >= news.end - drift_allowance(news.end, news.at)
-          : observation.kind == RegisterKind::outage
-              ? node.routes[observation.subject].state == observation.state
-              : node.offline_endpoints.count(subject_name(observation.subject)) &&
-                    node.offline_endpoints[subject_name(observation.subject)] == observation.offline;
+    for (auto& update : pending_updates_) {
+      if (!update.uninformed.count(index)) continue;
+      const auto& observation = update.observation;
+      bool knows = observation.kind == RegisterKind::retry_after
+                       ? known_end(world, index, observation.subject) >=
+                             update.end - drift_allowance(update.end, update.at)
+                   : observation.kind == RegisterKind::outage
+                       ? node.routes[observation.subject].state == observation.state
+                       : node.offline_endpoints.count(subject_name(observation.subject)) &&
+                             node.offline_endpoints[subject_name(observation.subject)] == observation.offline;
       if (!knows) continue;
-      news.uninformed.erase(index);
+      update.uninformed.erase(index);
       if (options_.samples)
         samples_[observation.kind == RegisterKind::retry_after ? "ms until a told wait is known"
                                                                : "ms until other news is known"]
-            .push_back(world.now() - news.at);
-      if (news.uninformed.empty() && options_.samples && observation.kind == RegisterKind::retry_after)
-        samples_["ms until a told wait is known by all"].push_back(world.now() - news.at);
-      if (fault_free_ && world.now() > news.at + max_spread(world))
+            .push_back(world.now() - update.at);
+      if (update.uninformed.empty() && options_.samples && observation.kind == RegisterKind::retry_after)
+        samples_["ms until a told wait is known by all"].push_back(world.now() - update.at);
+      if (fault_free_ && world.now() > update.at + max_spread(world))
         world.report_violation("spread", "member %d learns after %.0f ms of %s, received by member %d", index,
-                               world.now() - news.at, news.name.c_str(), news.index);
+                               world.now() - update.at, update.name.c_str(), update.index);
     }
     if (world.now() - view.window_start >= 1000) view.window_start = world.now(), view.messages_in_window = 0;
     view.messages_in_window += static_cast<int>(actions.sends.size());
@@ -577,7 +577,7 @@
   std::vector<Millis> last_turn_;
   std::vector<Observation> observations_;
   std::map<int, std::vector<Wait>> waits_;
-  std::vector<PendingNews> pending_news_;
+  std::vector<PendingUpdate> pending_updates_;
   std::vector<OfflineOrder> offline_orders_;
   std::vector<std::string> endpoint_of_order_;
   std::map<OrderVersion, std::size_t> order_by_version_;
--- a/src/model/warm.cpp
+++ b/src/model/warm.cpp
@@ -40,7 +40,7 @@
   Millis now = 0;
   std::function<void(std::uint64_t)> on_task;
   std::function<void(Warmer::Actions&, int waiting, int free)> on_actions;
-  std::function<void(const warm::WarmupMessage&)> on_heard;
+  std::function<void(const warm::WarmupMessage&)> on_warmup_message;
 
   void begin_turn(Millis at) override {
     now = at;
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -106,10 +106,10 @@
 void World::report_violation(const std::string& check, const char* format, ...) {
   va_list values;
   va_start(values, format);
-  auto record_trace = format_text(format, values);
+  auto text = format_text(format, values);
   va_end(values);
-  trace_line("violated: %s: %s", check.c_str(), record_trace.c_str());
-  throw InvariantViolation(check, "at " + std::to_string(static_cast<long>(now_)) + " ms: " + record_trace);
+  trace_line("violated: %s: %s", check.c_str(), text.c_str());
+  throw InvariantViolation(check, "at " + std::to_string(static_cast<long>(now_)) + " ms: " + text);
 }
 
 void World::add_to_digest(std::uint64_t a, std::uint64_t b, std::uint64_t c) {
@@ -125,14 +125,14 @@
 
 // With count ~0: the maximum without a spike.
 Millis World::latency(int from, int to, std::uint64_t count) const {
-  auto connection = hash_values(seed_, 0x11, from, to);
-  Millis base = 0.08 + 0.4 * unit_interval(connection);
+  auto link_hash = hash_values(seed_, 0x11, from, to);
+  Millis base = 0.08 + 0.4 * unit_interval(link_hash);
   if (zone_of_[from] != zone_of_[to])
     base += config_.farthest_zone_delay *
             (0.2 + 0.8 * unit_interval(hash_values(seed_, 0x12, std::min(zone_of_[from], zone_of_[to]),
                                                    std::max(zone_of_[from], zone_of_[to]))));
   if (count == ~0ULL) return base * 1.3;
-  auto drawn = hash_values(connection, count);
+  auto drawn = hash_values(link_hash, count);
   Millis time = base * (1 + 0.3 * unit_interval(drawn));
   if (unit_interval(hash_values(drawn, 1)) < config_.delay_spike_rate)
     time += max_delay_spike * unit_interval(hash_values(drawn, 2));
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -33,8 +33,8 @@
 
 // Thrown when a check fails: the check's name, and what it observed.
 struct InvariantViolation : std::runtime_error {
-  InvariantViolation(std::string check_name, const std::string& seen)
-      : std::runtime_error(seen), check(std::move(check_name)) {}
+  InvariantViolation(std::string check_name, const std::string& details)
+      : std::runtime_error(details), check(std::move(check_name)) {}
   std::string check;
 };
 
@@ -46,8 +46,8 @@
   virtual void on_link_change(fleet::MemberId peer, fleet::Incarnation incarnation, bool up) = 0;
   virtual void on_message(fleet::MemberId from, const Payload& message) = 0;
   virtual void run_task(std::uint64_t task) = 0;  // queued by the workload with World::enqueue_task
-  virtual Millis decide(
-      Outbox& outbox) = 0;  // returns the time until the next call; negative: none until input arrives
+  // Returns the time until the next call; negative: none until input arrives.
+  virtual Millis decide(Outbox& outbox) = 0;
 };
 
 class World;
@@ -59,11 +59,10 @@
   virtual void begin(World&) {}
   virtual std::unique_ptr<Process> boot(World& world, int machine, const std::any& storage,
                                         Millis downtime) = 0;
-  virtual std::any storage_snapshot(World&, int /*machine*/) {
-    return {};
-  }  // what the process has on disk now
+  // Returns what the process has on disk now.
+  virtual std::any storage_snapshot(World&, int /*machine*/) { return {}; }
   virtual void on_process_end(World&, int /*machine*/) {}
-  virtual void on_timer(World&, std::uint64_t /*what*/) {}  // scheduled with World::schedule
+  virtual void on_timer(World&, std::uint64_t /*task*/) {}  // scheduled with World::schedule
   virtual void check(World&) {}                             // every check_interval
   virtual void check_final(World&) {}  // all faults ended long ago: checks what has to hold by now
 };
@@ -78,8 +77,8 @@
   Millis clock_base = 0, booted = 0;
   Millis wall_clock_offset = 0;
   std::uint64_t last_incarnation = 0;  // as its storage has it
-  std::vector<std::pair<Millis, std::pair<std::uint64_t, std::any>>>
-      storage_snapshots;  // by time of the snapshot
+  // Each with its time and the last incarnation as of then.
+  std::vector<std::pair<Millis, std::pair<std::uint64_t, std::any>>> storage_snapshots;
   int boots = 0;
   std::uint64_t sent = 0;  // messages passed to the network
 };
@@ -110,8 +109,8 @@
   void schedule(Millis at, std::uint64_t task);        // calls Workload::on_timer then
   void enqueue_task(int index, std::uint64_t task);    // calls Process::run_task in that process's next turn
   RandomSource& random() { return random_; }           // for the workload
-  void trace_line(const char* format, ...)
-      __attribute__((format(printf, 2, 3)));  // writes to the trace and the digest
+  // Adds a line to the trace and to the digest.
+  void trace_line(const char* format, ...) __attribute__((format(printf, 2, 3)));
   [[noreturn]] void report_violation(const std::string& check, const char* format, ...)
       __attribute__((format(printf, 3, 4)));
 
@@ -158,8 +157,8 @@
     bool up = false;               // as the sender sees it
     bool broken = false;           // carries nothing any more; the sender has yet to detect it
     bool dialling = false;
-    int failures = 0;         // consecutive failed dials
-    Millis last_arrival = 0;  // arrival
+    int failures = 0;  // consecutive failed dials
+    Millis last_arrival = 0;
     std::uint64_t draws = 0;
     fleet::Incarnation incarnation;               // of the process that answered
     std::vector<std::shared_ptr<Input>> blocked;  // messages held by a cut or partition
--- a/tests/model/cold_fleet_test.cpp
+++ b/tests/model/cold_fleet_test.cpp
@@ -98,7 +98,7 @@
     }
 }
 
-TEST(ColdFleet, SomeWereNeverToldOfTheOutage) {
+TEST(ColdFleet, SomeRelaysNeverLearnOfTheOutage) {
   expect_within_budget({OutageKind::refuses_connections, false, 0.2}, Bound::rule);
   for (auto outage : {OutageKind::refuses_connections, OutageKind::hangs})
     expect_within_budget({outage, true, 0.2}, Bound::no_span_over);
