--- a/src/model/cold_fleet.cpp
+++ b/src/model/cold_fleet.cpp
@@ -94,8 +94,8 @@
   struct Relay {
     std::unique_ptr<Decision> decision;
     std::map<DocId, HeldDocument> held;
-    std::map<std::uint64_t, std::pair<RouteStatus, Millis>>
-        persisted_routes;  // by route: the stored status and when it was stored
+    // By route: the stored status and when it was stored.
+    std::map<std::uint64_t, std::pair<RouteStatus, Millis>> persisted_routes;
     std::uint64_t process_generation = 0, wake = 0;
     bool is_running = true;
     Millis informed_at = -1;  // last failed call in an outage or gossip of one; negative: none
--- a/src/model/warm.cpp
+++ b/src/model/warm.cpp
@@ -22,11 +22,13 @@
 constexpr Millis warm_up_time = 10000, idle_timeout = 8000, measurement_time = 30000;
 constexpr int max_connections = 64, max_neighbours = 4, max_list_size = 64;
 constexpr std::size_t max_bytes = 256 << 10;
-constexpr double endpoint_handshakes_per_second = 20, handshakes_per_call = 0.25,
-                 random_variation = 2;  // random_variation: factor for random variation
+constexpr double endpoint_handshakes_per_second = 20, handshakes_per_call = 0.25;
+// By this factor, random variation may exceed the handshake rate.
+constexpr double random_variation = 2;
 constexpr int slots = 20;
 
-struct EndpointConnections {                 // of one process
+// The connections of one process to one endpoint.
+struct EndpointConnections {
   std::deque<std::pair<Millis, bool>> idle;  // idle since, and whether opened ahead and not used yet
 };
 
