--- a/src/bench/load.cpp
+++ b/src/bench/load.cpp
@@ -7,7 +7,7 @@
 namespace rockcrank::bench {
 namespace {
 
-constexpr Millis again_after = 10;  // between tries to reach a relay
+constexpr Millis reconnect_delay = 10;  // between tries to reach a relay
 constexpr std::uint64_t keys = 4096;
 
 std::string command(const std::vector<std::string>& words) {
@@ -18,101 +18,108 @@
 
 }  // namespace
 
-Load::Load(LoadOrder order) : order_(std::move(order)), chance_(order_.seed) {
-  auto weights = order_.weights.empty() ? std::vector<double>{1} : order_.weights;
+Load::Load(LoadSettings settings) : settings_(std::move(settings)), random_(settings_.seed) {
+  auto weights = settings_.weights.empty() ? std::vector<double>{1} : settings_.weights;
   destinations_ = std::discrete_distribution<int>(weights.begin(), weights.end());
-  next_line_.resize(order_.relays.size()), handed_.resize(order_.relays.size());
-  for (std::size_t relay = 0; relay < order_.relays.size(); ++relay)
-    for (int i = 0; i < order_.connections; ++i) lines_.push_back({relay, 0, false, {}});
+  next_connection_.resize(settings_.relays.size()), submitted_.resize(settings_.relays.size());
+  for (std::size_t relay = 0; relay < settings_.relays.size(); ++relay)
+    for (int i = 0; i < settings_.connections; ++i) connections_.push_back({relay, 0, false, {}});
   thread_ = std::thread([this] { run(); });
 }
 Load::~Load() {
-  if (thread_.joinable()) end(0);
+  if (thread_.joinable()) stop(0);
 }
 
-LoadResult Load::end(Millis rest) {
-  rest_ = rest, over_ = true;
+LoadResult Load::stop(Millis answer_timeout) {
+  answer_timeout_ = answer_timeout, stopping_ = true;
   thread_.join();
   return std::move(result_);
 }
 
 void Load::run() {
-  began_ = ring_.now();
-  for (std::size_t i = 0; i < lines_.size(); ++i) connect(i);
-  while (!over_) {
-    if (order_.window == 0) pace();
-    ring_.turn(order_.window == 0 ? 1 : 5);
+  started_at_ = event_loop_.now();
+  for (std::size_t i = 0; i < connections_.size(); ++i) connect(i);
+  while (!stopping_) {
+    if (settings_.window == 0) pace();
+    event_loop_.run_once(settings_.window == 0 ? 1 : 5);
   }
-  result_.lasted = ring_.now() - began_;
-  auto taken = result_.taken;
+  result_.duration = event_loop_.now() - started_at_;
+  auto accepted = result_.accepted;
   auto open = [&] {
-    return std::any_of(lines_.begin(), lines_.end(), [](auto& at) { return !at.asked.empty(); });
+    return std::any_of(connections_.begin(), connections_.end(),
+                       [](auto& at) { return !at.submitted_at.empty(); });
   };
-  for (auto end = ring_.now() + rest_; open() && ring_.now() < end;) ring_.turn(5);
-  if (order_.window > 0) result_.taken = taken;  // what came after the end is no part of the rate
-  for (const auto& line : lines_) result_.unanswered += line.asked.size();
+  for (auto end = event_loop_.now() + answer_timeout_; open() && event_loop_.now() < end;)
+    event_loop_.run_once(5);
+  if (settings_.window > 0) result_.accepted = accepted;  // what came after the end is no part of the rate
+  for (const auto& connection : connections_) result_.unanswered += connection.submitted_at.size();
 }
 
 void Load::connect(std::size_t at) {
-  auto* sock = ring_.connect(order_.relays[lines_[at].relay]);
-  lines_[at].sock = sock->id;
-  sock->on_up = [this, at] {
-    lines_[at].up = true;
-    fill(at);
+  auto* sock = event_loop_.connect(settings_.relays[connections_[at].relay]);
+  connections_[at].socket_id = sock->id;
+  sock->on_connected = [this, at] {
+    connections_[at].up = true;
+    fill_window(at);
   };
-  sock->on_data = [this, at] { heard(at); };
+  sock->on_data = [this, at] { handle_answers(at); };
   // A relay that is gone is tried until one is there again.
-  sock->on_end = [this, at] {
-    lines_[at].up = false;
-    result_.unanswered += lines_[at].asked.size();
-    lines_[at].asked.clear();
-    ring_.at(ring_.now() + again_after, [this, at] {
-      if (!over_) connect(at);
+  sock->on_closed = [this, at] {
+    connections_[at].up = false;
+    result_.unanswered += connections_[at].submitted_at.size();
+    connections_[at].submitted_at.clear();
+    event_loop_.schedule(event_loop_.now() + reconnect_delay, [this, at] {
+      if (!stopping_) connect(at);
     });
   };
 }
 
-void Load::heard(std::size_t at) {
-  auto& line = lines_[at];
-  auto* sock = ring_.find(line.sock);
+void Load::handle_answers(std::size_t at) {
+  auto& connection = connections_[at];
+  auto* sock = event_loop_.find(connection.socket_id);
   if (!sock) return;
   std::size_t from = 0;
   for (auto end = sock->in.find("\r\n"); end != std::string::npos; end = sock->in.find("\r\n", from)) {
-    auto said = std::string_view(sock->in).substr(from, end - from);
+    auto answer = std::string_view(sock->in).substr(from, end - from);
     from = end + 2;
-    if (line.asked.empty()) continue;
-    if (said == "+OK") ++result_.taken, result_.waits.push_back(ring_.now() - line.asked.front());
-    else ++(said.rfind("-BUSY", 0) == 0 ? result_.busy : result_.other);
-    line.asked.pop_front();
+    if (connection.submitted_at.empty()) continue;
+    if (answer == "+OK")
+      ++result_.accepted, result_.answer_times.push_back(event_loop_.now() - connection.submitted_at.front());
+    else ++(answer.rfind("-BUSY", 0) == 0 ? result_.busy : result_.other);
+    connection.submitted_at.pop_front();
   }
   sock->in.erase(0, from);
-  if (!over_) fill(at);
+  if (!stopping_) fill_window(at);
 }
 
-void Load::fill(std::size_t at) {
-  auto& line = lines_[at];
-  while (line.up && line.asked.size() < static_cast<std::size_t>(order_.window)) hand(line);
+void Load::fill_window(std::size_t at) {
+  auto& connection = connections_[at];
+  while (connection.up && connection.submitted_at.size() < static_cast<std::size_t>(settings_.window))
+    submit(connection);
 }
 
-void Load::hand(Line& line) {
-  auto* sock = ring_.find(line.sock);
+void Load::submit(Connection& connection) {
+  auto* sock = event_loop_.find(connection.socket_id);
   if (!sock) return;
-  auto order = std::to_string(number_ % keys), id = order_.mark + std::to_string(++number_);
-  auto list = "c=" + order_.type + ",d=" + std::to_string(static_cast<long>(order_.left)) +
-              ",dest=" + std::to_string(destinations_(chance_) + 1);
-  auto body = "key=" + order + " v=" + std::to_string(number_) + " ";
-  body.resize(std::max(body.size(), order_.body), 'x');
-  line.asked.push_back(ring_.now());
-  ring_.send(*sock, command({"ENQUEUE", std::string(16 - order.size(), '0') + order, id, list, body}));
+  auto order_key = std::to_string(last_number_ % keys),
+       id = settings_.id_prefix + std::to_string(++last_number_);
+  auto list = "c=" + settings_.type + ",d=" + std::to_string(static_cast<long>(settings_.time_to_expiry)) +
+              ",dest=" + std::to_string(destinations_(random_) + 1);
+  auto body = "key=" + order_key + " v=" + std::to_string(last_number_) + " ";
+  body.resize(std::max(body.size(), settings_.body_bytes), 'x');
+  connection.submitted_at.push_back(event_loop_.now());
+  event_loop_.send(*sock,
+                   command({"ENQUEUE", std::string(16 - order_key.size(), '0') + order_key, id, list, body}));
 }
 
 void Load::pace() {
-  for (std::size_t relay = 0; relay < order_.relays.size(); ++relay)
-    for (auto due = (ring_.now() - began_) / 1000 * order_.rate; handed_[relay] + 1 <= due;
-         ++handed_[relay]) {
-      auto& line = lines_[relay * static_cast<std::size_t>(order_.connections) +
-                          next_line_[relay]++ % static_cast<std::size_t>(order_.connections)];
-      if (line.up) hand(line);
+  for (std::size_t relay = 0; relay < settings_.relays.size(); ++relay)
+    for (auto due = (event_loop_.now() - started_at_) / 1000 * settings_.rate; submitted_[relay] + 1 <= due;
+         ++submitted_[relay]) {
+      auto& connection =
+          connections_[relay * static_cast<std::size_t>(settings_.connections) +
+                       next_connection_[relay]++ % static_cast<std::size_t>(settings_.connections)];
+      if (connection.up) submit(connection);
     }
 }
 
--- a/src/trial/auditor.cpp
+++ b/src/trial/auditor.cpp
@@ -19,38 +19,38 @@
 constexpr Time never = 1e18;
 
 // What is allowed for the machine that the trial runs on, and for the poll rounds of the stand-ins.
-constexpr Time answer_slack = 500;   // beyond a document's expiry
-constexpr Time on_its_way = 150;     // a call or an answer that was written may be read so much later
-constexpr Time told_slack = 60;      // a wait counts from the reading of its answer
-constexpr Time surely_read = 250;    // an answer to a process that runs
-constexpr Time surely_tried = 500;   // a message that was taken on, where nothing else is wrong
-constexpr Time surely_known = 1000;  // by a relay that is linked to one that knows
-constexpr Time link_again = 2500;    // a link that was cut, or whose member was not there, is dialled anew
-constexpr Time client_patience = 3000;
+constexpr Time answer_slack = 500;    // beyond a document's expiry
+constexpr Time delivery_slack = 150;  // a call or an answer that was written may be read so much later
+constexpr Time wait_slack = 60;       // a wait counts from the reading of its answer
+constexpr Time read_within = 250;     // an answer to a process that runs
+constexpr Time tried_within = 500;    // a message that was taken on, where nothing else is wrong
+constexpr Time known_within = 1000;   // by a relay that is linked to one that knows
+constexpr Time redial_within = 2500;  // a link that was cut, or whose member was not there, is dialled anew
+constexpr Time client_timeout = 3000;
 constexpr Time drain_slack = 300;
-constexpr Time settled_within = 8000;  // after the last fault: take-overs, catch-up, held documents
+constexpr Time recovery_time = 8000;  // after the last fault: take-overs, catch-up, held documents
 
 struct Line {
   Time at = 0;
   std::string kind, text;
   std::map<std::string, std::string> fields;
-  std::string of(const std::string& name) const {
+  std::string field(const std::string& name) const {
     auto found = fields.find(name);
     return found == fields.end() ? std::string() : found->second;
   }
   Time number(const std::string& name, Time absent = 0) const {
-    auto value = of(name);
+    auto value = field(name);
     return value.empty() ? absent : std::strtod(value.c_str(), nullptr);
   }
 };
 
 struct Call {
-  Time began = 0, came = 0, answered = never, broke = never, wait = 0;
-  std::string relay, endpoint, dest, id, mark, key;
+  Time began = 0, received_at = 0, answered = never, broke = never, wait = 0;
+  std::string relay, endpoint, dest, id, idempotency_key, key;
   long version = 0;
   int life = 0, status = 0;
   // A status that proves that the document never ran; all else may have.
-  bool never_ran() const {
+  bool surely_not_run() const {
     return status == 429 || status == 503 || status == 400 || status == 413 || status == 504 || status == 410;
   }
 };
@@ -59,13 +59,13 @@
   std::string relay, status;
   int life = 0;
 };
-struct Doc {
-  std::string id, relay, type, dest, key, mark, client;
+struct Document {
+  std::string id, relay, type, dest, key, idempotency_key, client;
   long version = 0;
-  Time handed = 0, said = never, expiry = never;
-  std::string what;  // the client was told
-  int life = 0, place = 0;
-  bool unsaid = false, tombstone = false;
+  Time submitted_at = 0, answered_at = never, expiry = never;
+  std::string answer;  // the client was told
+  int life = 0, sequence = 0;
+  bool connection_lost = false, tombstone = false;
   std::vector<Call> calls;
   std::vector<Notice> notices;
 };
@@ -75,23 +75,23 @@
   bool ordered = false;
   std::set<std::string> subscribers;  // of a stream
 };
-struct Span {
+struct Interval {
   Time from = 0, to = never;
-  bool holds(Time at) const { return from <= at && at < to; }
-  bool meets(Time a, Time b) const { return from <= b && a < to; }
+  bool contains(Time at) const { return from <= at && at < to; }
+  bool overlaps(Time a, Time b) const { return from <= b && a < to; }
 };
 struct Relay {
-  std::vector<Span> up, stalled;
+  std::vector<Interval> up, stalled;
   std::vector<Time> lost;  // its folder emptied, or an older one put in its place
   std::vector<Time> disk_full;
-  bool twin = false;
+  bool is_duplicate = false;
   bool runs(Time at) const {
-    auto holds = [&](const Span& span) { return span.holds(at); };
+    auto holds = [&](const Interval& span) { return span.contains(at); };
     return std::any_of(up.begin(), up.end(), holds) && std::none_of(stalled.begin(), stalled.end(), holds);
   }
   bool runs_throughout(Time a, Time b) const {
-    return std::any_of(up.begin(), up.end(), [&](const Span& s) { return s.from <= a && b < s.to; }) &&
-           std::none_of(stalled.begin(), stalled.end(), [&](const Span& s) { return s.meets(a, b); });
+    return std::any_of(up.begin(), up.end(), [&](const Interval& s) { return s.from <= a && b < s.to; }) &&
+           std::none_of(stalled.begin(), stalled.end(), [&](const Interval& s) { return s.overlaps(a, b); });
   }
   int life(Time at) const {
     int count = 0;
@@ -100,15 +100,16 @@
   }
 };
 
-class Trial {
+class Auditor {
  public:
-  explicit Trial(const std::string& log) { read(log); }
+  explicit Auditor(const std::string& log) { read(log); }
 
-  std::vector<Broken> judge() {
-    find_deliveries();
-    crashes(), unknown(), unanswered(), ends(), effects(), windows(), drains(), cold_returns(), order(),
-        waits(), opened_ahead(), staff(), versions(), convergence();
-    return std::move(broken_);
+  std::vector<Violation> run_checks() {
+    collect_deliveries();
+    check_crashes(), check_unknown(), check_unanswered(), check_ends(), check_effects(), check_windows(),
+        check_drains(), check_cold_returns(), check_order(), check_waits(), check_opened_ahead(),
+        check_offline(), check_versions(), check_convergence();
+    return std::move(violations_);
   }
 
  private:
@@ -134,61 +135,65 @@
 
   void take(const Line& line) {
     const auto& kind = line.kind;
-    auto relay = line.of("r"), id = line.of("id");
+    auto relay = line.field("r"), id = line.field("id");
     auto life = [&] { return relays_[relay].life(line.at); };
-    if (kind == "set") set_ = line;
+    if (kind == "set") settings_ = line;
     else if (kind == "type")
-      types_[line.of("name")] = {line.of("repeat"), line.of("scope"), line.number("window"),
-                                 line.of("ordered") == "1", words_of(line.of("stream"))};
+      types_[line.field("name")] = {line.field("repeat"), line.field("scope"), line.number("window"),
+                                    line.field("ordered") == "1", split_list(line.field("stream"))};
     else if (kind == "endpoint")
-      dest_of_[line.of("e")] = line.of("dest"), hall_of_[line.of("e")] = line.of("hall"),
-      rate_of_[line.of("dest")] += line.number("rate");
-    else if (kind == "relay") relays_[relay].twin = !line.of("twin").empty();
-    else if (kind == "start") relays_[relay].up.push_back({line.at, never}), disturbed(line.at);
+      destination_of_[line.field("e")] = line.field("dest"), zone_of_[line.field("e")] = line.field("hall"),
+      rate_of_[line.field("dest")] += line.number("rate");
+    else if (kind == "relay") relays_[relay].is_duplicate = !line.field("twin").empty();
+    else if (kind == "start") relays_[relay].up.push_back({line.at, never}), add_disturbance(line.at);
     else if (kind == "kill" || kind == "exit") {
       auto& here = relays_[relay];
       if (!here.up.empty()) here.up.back().to = std::min(here.up.back().to, line.at);
       if (!here.stalled.empty()) here.stalled.back().to = std::min(here.stalled.back().to, line.at);
-      disturbed(line.at);
-    } else if (kind == "term") disturbed(line.at);
-    else if (kind == "stop") relays_[relay].stalled.push_back({line.at, never}), disturbed(line.at);
-    else if (kind == "cont") relays_[relay].stalled.back().to = line.at, disturbed(line.at);
-    else if (kind == "folder") relays_[relay].lost.push_back(line.at), disturbed(line.at);
+      add_disturbance(line.at);
+    } else if (kind == "term") add_disturbance(line.at);
+    else if (kind == "stop") relays_[relay].stalled.push_back({line.at, never}), add_disturbance(line.at);
+    else if (kind == "cont") relays_[relay].stalled.back().to = line.at, add_disturbance(line.at);
+    else if (kind == "folder") relays_[relay].lost.push_back(line.at), add_disturbance(line.at);
     else if (kind == "full" || kind == "roomy")
-      relays_[relay].disk_full.push_back(line.at), disturbed(line.at);
+      relays_[relay].disk_full.push_back(line.at), add_disturbance(line.at);
     else if (kind == "link") {
-      auto& cuts = cuts_[{line.of("i"), line.of("j")}];
+      auto& cuts = cuts_[{line.field("i"), line.field("j")}];
       if (!cuts.empty() && cuts.back().to == never) cuts.back().to = line.at;
-      if (line.of("way") != "open") cuts.push_back({line.at, never});
-      disturbed(line.at);
+      if (line.field("way") != "open") cuts.push_back({line.at, never});
+      add_disturbance(line.at);
     } else if (kind == "reset" || kind == "tear" || kind == "corrupt" || kind == "flood") {
       // The link is down for as long as it takes to come up again.
-      cuts_[{line.of("i"), line.of("j")}].push_back({line.at, line.at + surely_known}), disturbed(line.at);
-    } else if (kind == "told") told_[{relay, line.of("e")}].push_back(line);
+      cuts_[{line.field("i"), line.field("j")}].push_back({line.at, line.at + known_within}),
+          add_disturbance(line.at);
+    } else if (kind == "told") listed_states_[{relay, line.field("e")}].push_back(line);
     else if (kind == "fails" || kind == "works")
-      failing_[line.of("e")].emplace_back(line.at, kind == "fails");
-    else if (kind == "peers") linked_.push_back(line.at);
-    else if (kind == "out" || kind == "in") staff_[line.of("e")].push_back(line);
+      outage_changes_[line.field("e")].emplace_back(line.at, kind == "fails");
+    else if (kind == "peers") all_linked_at_.push_back(line.at);
+    else if (kind == "out" || kind == "in") offline_orders_[line.field("e")].push_back(line);
     else if (kind == "hand") {
-      Doc& doc = docs_[id];
-      doc.id = id, doc.relay = relay, doc.type = line.of("type"), doc.dest = line.of("dest");
-      doc.key = line.of("key"), doc.mark = line.of("mark"), doc.client = line.of("c");
-      doc.version = std::lround(line.number("v")), doc.handed = line.at, doc.life = life();
-      doc.expiry = line.at + line.number("left"), doc.place = ++handed_,
-      doc.tombstone = line.of("empty") == "1";
-    } else if (kind == "said") docs_[id].said = line.at, docs_[id].what = line.of("what");
-    else if (kind == "unsaid") docs_[id].unsaid = true;
-    else if (kind == "notice") docs_[id].notices.push_back({line.at, relay, line.of("status"), life()});
+      Document& doc = documents_[id];
+      doc.id = id, doc.relay = relay, doc.type = line.field("type"), doc.dest = line.field("dest");
+      doc.key = line.field("key"), doc.idempotency_key = line.field("mark"), doc.client = line.field("c");
+      doc.version = std::lround(line.number("v")), doc.submitted_at = line.at, doc.life = life();
+      doc.expiry = line.at + line.number("left"), doc.sequence = ++submitted_count_,
+      doc.tombstone = line.field("empty") == "1";
+    } else if (kind == "said")
+      documents_[id].answered_at = line.at, documents_[id].answer = line.field("what");
+    else if (kind == "unsaid") documents_[id].connection_lost = true;
+    else if (kind == "notice")
+      documents_[id].notices.push_back({line.at, relay, line.field("status"), life()});
     else if (kind == "call") {
       Call call;
-      call.began = line.number("began", line.at), call.came = line.at, call.relay = relay;
-      call.endpoint = line.of("e"), call.dest = line.of("dest"), call.id = id, call.mark = line.of("mark");
-      call.key = line.of("key"), call.version = std::lround(line.number("v")), call.life = life();
-      docs_[id].calls.push_back(call);
+      call.began = line.number("began", line.at), call.received_at = line.at, call.relay = relay;
+      call.endpoint = line.field("e"), call.dest = line.field("dest"), call.id = id,
+      call.idempotency_key = line.field("mark");
+      call.key = line.field("key"), call.version = std::lround(line.number("v")), call.life = life();
+      documents_[id].calls.push_back(call);
     } else if (kind == "answer" || kind == "broke") {
-      auto& calls = docs_[id].calls;
+      auto& calls = documents_[id].calls;
       for (auto call = calls.rbegin(); call != calls.rend(); ++call)
-        if (call->relay == relay && call->endpoint == line.of("e") && call->answered == never &&
+        if (call->relay == relay && call->endpoint == line.field("e") && call->answered == never &&
             call->broke == never) {
           if (kind == "broke") call->broke = line.at;
           else
@@ -199,7 +204,7 @@
     }
   }
 
-  static std::set<std::string> words_of(const std::string& list) {
+  static std::set<std::string> split_list(const std::string& list) {
     std::set<std::string> all;
     std::istringstream in(list);
     for (std::string one; std::getline(in, one, ',');)
@@ -209,13 +214,13 @@
   // A stream's document goes to each subscriber under its id and the subscriber's destination; to one that it
   // was handed in for, also as any document. What it is of is known by the id, as one that ends a key has no
   // body.
-  void find_deliveries() {
-    for (auto& [id, doc] : docs_) {
+  void collect_deliveries() {
+    for (auto& [id, doc] : documents_) {
       auto dot = id.rfind('.');
-      const Doc* of = &doc;
+      const Document* of = &doc;
       if (doc.relay.empty()) {
-        auto base = docs_.find(id.substr(0, dot));
-        if (dot == std::string::npos || base == docs_.end() || base->second.relay.empty()) continue;
+        auto base = documents_.find(id.substr(0, dot));
+        if (dot == std::string::npos || base == documents_.end() || base->second.relay.empty()) continue;
         of = &base->second;
       }
       auto type = types_.find(of->type);
@@ -228,79 +233,79 @@
       }
     }
   }
-  bool to_subscriber(const Doc& doc) const {
+  bool to_subscriber(const Document& doc) const {
     auto type = types_.find(doc.type);
     return type != types_.end() && doc.key != "0" && type->second.subscribers.count(doc.dest);
   }
   struct Delivery {
     const Call* call;
-    const Doc* doc;
+    const Document* doc;
   };
 
   // ---- what holds at a time
 
-  void disturbed(Time at) { disturbances_.push_back(at); }
-  bool share() const { return set_.of("share") == "1"; }
-  int copies() const { return static_cast<int>(set_.number("copies")); }
+  void add_disturbance(Time at) { disturbances_.push_back(at); }
+  bool share() const { return settings_.field("share") == "1"; }
+  int copies() const { return static_cast<int>(settings_.number("copies")); }
 
   // Whether both ran and nothing was wrong with the link between them, either way.
-  bool at_peace(const std::string& one, const std::string& other, Time a, Time b) const {
+  bool undisturbed_between(const std::string& one, const std::string& other, Time a, Time b) const {
     for (const auto& pair : {std::make_pair(one, other), std::make_pair(other, one)}) {
       auto cuts = cuts_.find(pair);
       if (cuts != cuts_.end() && std::any_of(cuts->second.begin(), cuts->second.end(),
-                                             [&](const Span& cut) { return cut.meets(a, b); }))
+                                             [&](const Interval& cut) { return cut.overlaps(a, b); }))
         return false;
     }
     return relays_.at(one).runs_throughout(a, b) && relays_.at(other).runs_throughout(a, b);
   }
   // Whether messages surely pass between them throughout: nothing was wrong for long enough to dial anew, or
   // since the rig saw bytes come and go on all links.
-  bool joined(const std::string& one, const std::string& other, Time a, Time b) const {
-    if (at_peace(one, other, a - link_again, b)) return true;
-    auto seen = std::upper_bound(linked_.begin(), linked_.end(), a);
-    return seen != linked_.begin() && at_peace(one, other, *std::prev(seen), b);
+  bool connected(const std::string& one, const std::string& other, Time a, Time b) const {
+    if (undisturbed_between(one, other, a - redial_within, b)) return true;
+    auto seen = std::upper_bound(all_linked_at_.begin(), all_linked_at_.end(), a);
+    return seen != all_linked_at_.begin() && undisturbed_between(one, other, *std::prev(seen), b);
   }
   // Whether news that `from` has at `at` has surely come to `to` by `by`: over relays that ran and links that
   // held all the while that it takes, either from the first moment or up to the last.
-  bool surely_heard(const std::string& from, const std::string& to, Time at, Time by) const {
-    if (!share() || by < at + surely_known || !relays_.at(to).runs_throughout(by - surely_known, by))
+  bool surely_informed(const std::string& from, const std::string& to, Time at, Time by) const {
+    if (!share() || by < at + known_within || !relays_.at(to).runs_throughout(by - known_within, by))
       return false;
     auto reaches = [&](Time a, Time b) {
       std::set<std::string> reached{from};
       for (bool grew = true; grew;) {
         grew = false;
         for (const auto& [name, relay] : relays_)
-          if (!reached.count(name) && !relay.twin &&
+          if (!reached.count(name) && !relay.is_duplicate &&
               std::any_of(reached.begin(), reached.end(),
-                          [&](const auto& one) { return joined(one, name, a, b); }))
+                          [&](const auto& one) { return connected(one, name, a, b); }))
             reached.insert(name), grew = true;
       }
       return reached.count(to) > 0;
     };
-    return (relays_.at(to).runs_throughout(at, by) && reaches(at, at + surely_known)) ||
-           (relays_.at(from).runs_throughout(at, by) && reaches(by - surely_known, by));
+    return (relays_.at(to).runs_throughout(at, by) && reaches(at, at + known_within)) ||
+           (relays_.at(from).runs_throughout(at, by) && reaches(by - known_within, by));
   }
-  bool heard(const Call& call) const {  // its answer, by the relay that made it
+  bool answer_was_read(const Call& call) const {  // its answer, by the relay that made it
     return call.answered < never &&
-           relays_.at(call.relay).runs_throughout(call.answered, call.answered + surely_read) &&
+           relays_.at(call.relay).runs_throughout(call.answered, call.answered + read_within) &&
            relays_.at(call.relay).life(call.answered) == call.life;
   }
   // A fault of a process or link (or a member missing) at some time within.
-  bool disturbed_within(Time a, Time b) const {
+  bool had_disturbance(Time a, Time b) const {
     if (std::any_of(disturbances_.begin(), disturbances_.end(), [&](Time at) { return a <= at && at <= b; }))
       return true;
     for (const auto& [pair, cuts] : cuts_)
-      if (std::any_of(cuts.begin(), cuts.end(), [&](const Span& cut) { return cut.meets(a, b); }))
+      if (std::any_of(cuts.begin(), cuts.end(), [&](const Interval& cut) { return cut.overlaps(a, b); }))
         return true;
     for (const auto& [name, relay] : relays_)
-      if (!relay.twin && !relay.runs_throughout(a, std::min(b, end_))) return true;
+      if (!relay.is_duplicate && !relay.runs_throughout(a, std::min(b, end_))) return true;
     return false;
   }
   // Members whose folder went, or who were gone to the end, from then on.
-  std::size_t lost_holders(Time from, Time to) const {
+  std::size_t lost_member_count(Time from, Time to) const {
     std::size_t count = 0;
     for (const auto& [name, relay] : relays_) {
-      if (relay.twin) continue;
+      if (relay.is_duplicate) continue;
       bool gone = relay.up.empty() || (relay.up.back().to < end_);
       bool folder =
           std::any_of(relay.lost.begin(), relay.lost.end(), [&](Time at) { return from <= at && at <= to; });
@@ -308,22 +313,22 @@
     }
     return count;
   }
-  bool folder_lost(const std::string& relay, Time from, Time to) const {
+  bool folder_was_lost(const std::string& relay, Time from, Time to) const {
     const auto& lost = relays_.at(relay).lost;
     return std::any_of(lost.begin(), lost.end(), [&](Time at) { return from <= at && at <= to; });
   }
   // By when a document must have its end: its expiry, or, where a fault met its life, so long after the last
   // moment at which members were missing, or anything changed.
-  Time due(const Doc& doc) const {
+  Time due(const Document& doc) const {
     Time due = doc.expiry;
     for (bool moved = true; moved;) {
       moved = false;
       for (Time at : disturbances_)
-        if (doc.handed - 50 <= at && at <= due && at + settled_within > due)
-          due = at + settled_within, moved = true;
-      auto missing = [&](const Span& span) {
-        if (!span.meets(doc.handed, due)) return;
-        auto until = std::min(span.to, end_) + settled_within;
+        if (doc.submitted_at - 50 <= at && at <= due && at + recovery_time > due)
+          due = at + recovery_time, moved = true;
+      auto missing = [&](const Interval& span) {
+        if (!span.overlaps(doc.submitted_at, due)) return;
+        auto until = std::min(span.to, end_) + recovery_time;
         if (until > due) due = until, moved = true;
       };
       for (const auto& [pair, cuts] : cuts_)
@@ -340,27 +345,28 @@
     return due;
   }
 
-  void accuse(const std::string& rule, const std::string& what, const std::set<std::string>& ids, Time from,
-              Time to, const std::string& endpoint_or_dest = "") {
+  void report(const std::string& check, const std::string& summary, const std::set<std::string>& ids,
+              Time from, Time to, const std::string& endpoint_or_dest = "") {
     // One of each kind tells enough, and the first is the one to look at.
-    if (!accused_.insert(rule).second) return;
-    Broken broken{rule, what, {}};
+    if (!reported_.insert(check).second) return;
+    Violation violation{check, summary, {}};
     static const std::set<std::string> faults{"start", "kill", "stop",    "cont", "folder", "link",
                                               "reset", "tear", "corrupt", "full", "roomy",  "exit",
                                               "term",  "out",  "in",      "saved"};
     for (const auto& line : lines_) {
-      bool own = !line.of("id").empty() && ids.count(line.of("id"));
+      bool own = !line.field("id").empty() && ids.count(line.field("id"));
       bool place =
           !endpoint_or_dest.empty() &&
-          (line.of("e") == endpoint_or_dest || line.of("dest") == endpoint_or_dest) &&
+          (line.field("e") == endpoint_or_dest || line.field("dest") == endpoint_or_dest) &&
           (line.kind == "fails" || line.kind == "works" || line.kind == "list" || line.kind == "manner");
       bool fault = faults.count(line.kind) && from - 3000 <= line.at && line.at <= to;
-      if (own || place || fault) broken.story.push_back(line.text);
+      if (own || place || fault) violation.evidence.push_back(line.text);
     }
     constexpr std::size_t most = 60;
-    if (broken.story.size() > most)
-      broken.story.erase(broken.story.begin(), broken.story.end() - static_cast<std::ptrdiff_t>(most));
-    broken_.push_back(std::move(broken));
+    if (violation.evidence.size() > most)
+      violation.evidence.erase(violation.evidence.begin(),
+                               violation.evidence.end() - static_cast<std::ptrdiff_t>(most));
+    violations_.push_back(std::move(violation));
   }
   static std::string ms(Time at) {
     char text[32];
@@ -370,232 +376,236 @@
 
   // ---- the checks
 
-  void crashes() {
+  void check_crashes() {
     for (const auto& line : lines_)
-      if (line.kind == "exit" && (line.of("asked") != "1" || line.of("code") != "0"))
-        accuse("crash", line.of("r") + " ended by itself, or badly, with " + line.of("code"), {}, line.at,
-               line.at);
+      if (line.kind == "exit" && (line.field("asked") != "1" || line.field("code") != "0"))
+        report("crash", line.field("r") + " ended by itself, or badly, with " + line.field("code"), {},
+               line.at, line.at);
   }
 
   // Nothing is sent that nobody handed in.
-  void unknown() {
-    for (const auto& [id, doc] : docs_)
+  void check_unknown() {
+    for (const auto& [id, doc] : documents_)
       if (doc.relay.empty() && !doc.calls.empty() &&
           std::none_of(deliveries_.begin(), deliveries_.end(), [&](auto& one) { return one.call->id == id; }))
-        accuse("unknown", doc.calls[0].relay + " sent " + id + ", which nobody handed in", {id},
-               doc.calls[0].began, doc.calls[0].came);
+        report("unknown", doc.calls[0].relay + " sent " + id + ", which nobody handed in", {id},
+               doc.calls[0].began, doc.calls[0].received_at);
   }
 
   // Each client hears something while the relay runs.
-  void unanswered() {
-    for (const auto& [id, doc] : docs_) {
-      if (doc.relay.empty() || doc.unsaid) continue;
-      auto by = doc.handed + client_patience;
-      if (doc.said <= by || end_ < by || !relays_.at(doc.relay).runs_throughout(doc.handed, by)) continue;
-      accuse("unanswered",
-             "the client that handed " + id + " to " + doc.relay + " heard nothing in " +
-                 ms(client_patience) + " ms",
-             {id}, doc.handed, by);
+  void check_unanswered() {
+    for (const auto& [id, doc] : documents_) {
+      if (doc.relay.empty() || doc.connection_lost) continue;
+      auto by = doc.submitted_at + client_timeout;
+      if (doc.answered_at <= by || end_ < by || !relays_.at(doc.relay).runs_throughout(doc.submitted_at, by))
+        continue;
+      report("unanswered",
+             "the client that handed " + id + " to " + doc.relay + " heard nothing in " + ms(client_timeout) +
+                 " ms",
+             {id}, doc.submitted_at, by);
     }
   }
 
   // One final answer for each document taken on: before its expiry, and nothing after.
-  void ends() {
-    for (const auto& [id, doc] : docs_) {
+  void check_ends() {
+    for (const auto& [id, doc] : documents_) {
       if (doc.relay.empty()) continue;
       Time first = never;  // a final answer
       for (const auto& call : doc.calls)
         if (call.status == 200 || call.status == 410) first = std::min(first, call.answered);
       for (const auto& notice : doc.notices) first = std::min(first, notice.at);
       bool stream = to_subscriber(doc);  // its end is that of its deliveries: see versions()
-      if (doc.what == "OK" && !stream) {
-        bool excused = copies() > 0 ? lost_holders(doc.handed, end_) > 1
-                                    : folder_lost(doc.relay, doc.handed, end_) ||
+      if (doc.answer == "OK" && !stream) {
+        bool excused = copies() > 0 ? lost_member_count(doc.submitted_at, end_) > 1
+                                    : folder_was_lost(doc.relay, doc.submitted_at, end_) ||
                                           (relays_.at(doc.relay).up.back().to < end_);
         auto due_by = due(doc) + answer_slack;
         if (!excused && first == never && end_ > due_by)
-          accuse("lost", id + " was taken on by " + doc.relay + " and has no final answer", {id}, doc.handed,
-                 due_by);
+          report("lost", id + " was taken on by " + doc.relay + " and has no final answer", {id},
+                 doc.submitted_at, due_by);
         else if (!excused && first < never && first > due_by)
-          accuse("late", id + " had its final answer " + ms(first - doc.expiry) + " ms after its expiry",
-                 {id}, doc.handed, first);
+          report("late", id + " had its final answer " + ms(first - doc.expiry) + " ms after its expiry",
+                 {id}, doc.submitted_at, first);
       }
-      two_ends(doc);
+      check_two_ends(doc);
     }
   }
 
-  void two_ends(const Doc& doc) {
+  void check_two_ends(const Document& doc) {
     const auto& id = doc.id;
     for (std::size_t i = 0; i < doc.notices.size(); ++i)
       for (std::size_t j = i + 1; j < doc.notices.size(); ++j) {
         const Notice &one = doc.notices[i], &other = doc.notices[j];
         // The same word again is told by one that cannot know whether the first was taken: after a restart,
         // or after a take-over.
-        bool may = one.status == other.status && disturbed_within(doc.handed, other.at);
-        if (copies() == 0 && folder_lost(other.relay, doc.handed, other.at)) may = true;
+        bool may = one.status == other.status && had_disturbance(doc.submitted_at, other.at);
+        if (copies() == 0 && folder_was_lost(other.relay, doc.submitted_at, other.at)) may = true;
         if (!may)
-          accuse("two-ends",
+          report("two-ends",
                  id + " was told as " + one.status + " by " + one.relay + ", then as " + other.status +
                      " by " + other.relay,
-                 {id}, doc.handed, other.at);
+                 {id}, doc.submitted_at, other.at);
       }
-    auto forgot = [&](const Call& call) {
-      return copies() == 0 && folder_lost(call.relay, doc.handed, call.came);
+    auto forgotten = [&](const Call& call) {
+      return copies() == 0 && folder_was_lost(call.relay, doc.submitted_at, call.received_at);
     };
     for (const auto& notice : doc.notices)
       for (const auto& call : doc.calls)
-        if (call.began > notice.at + on_its_way && !forgot(call))
-          accuse("after-end",
+        if (call.began > notice.at + delivery_slack && !forgotten(call))
+          report("after-end",
                  id + " was ended (" + notice.status + ") by " + notice.relay + " and then sent by " +
                      call.relay,
-                 {id}, doc.handed, call.came);
+                 {id}, doc.submitted_at, call.received_at);
     if (to_subscriber(doc)) return;
     for (const auto& one : doc.calls) {
-      if (one.status != 200 || !heard(one)) continue;
+      if (one.status != 200 || !answer_was_read(one)) continue;
       for (const auto& call : doc.calls)
-        if (call.began > one.answered + surely_read && !disturbed_within(doc.handed, call.began) &&
-            !forgot(call))
-          accuse("after-end", id + " was answered to " + one.relay + " and then sent again by " + call.relay,
-                 {id}, doc.handed, call.came);
+        if (call.began > one.answered + read_within && !had_disturbance(doc.submitted_at, call.began) &&
+            !forgotten(call))
+          report("after-end", id + " was answered to " + one.relay + " and then sent again by " + call.relay,
+                 {id}, doc.submitted_at, call.received_at);
       for (const auto& notice : doc.notices)
-        if (notice.at > one.answered + surely_read && !disturbed_within(doc.handed, notice.at))
-          accuse("two-ends",
+        if (notice.at > one.answered + read_within && !had_disturbance(doc.submitted_at, notice.at))
+          report("two-ends",
                  id + " was answered to " + one.relay + " and then told as " + notice.status + " by " +
                      notice.relay,
-                 {id}, doc.handed, notice.at);
+                 {id}, doc.submitted_at, notice.at);
     }
   }
 
   // No effect twice: a binding document is sent again, or given back, only where every call before surely
   // never ran. Holds under all faults, but where nobody else kept what a lost folder knew.
-  void effects() {
-    for (const auto& [id, doc] : docs_) {
+  void check_effects() {
+    for (const auto& [id, doc] : documents_) {
       if (doc.relay.empty() || types_[doc.type].repeat != "unsafe") continue;
-      bool excused =
-          copies() > 0 ? lost_holders(doc.handed, end_) > 1 : folder_lost(doc.relay, doc.handed, end_);
+      bool excused = copies() > 0 ? lost_member_count(doc.submitted_at, end_) > 1
+                                  : folder_was_lost(doc.relay, doc.submitted_at, end_);
       if (excused) continue;
       for (const auto& one : doc.calls) {
-        if (one.never_ran()) continue;
+        if (one.surely_not_run()) continue;
         for (const auto& other : doc.calls)
-          if (other.came > one.came)
-            accuse("effect-twice",
+          if (other.received_at > one.received_at)
+            report("effect-twice",
                    "binding " + id + " may have run in " + one.relay + "'s call and was sent again by " +
                        other.relay,
-                   {id}, doc.handed, other.came);
+                   {id}, doc.submitted_at, other.received_at);
         for (const auto& notice : doc.notices)
-          if (notice.status == "deferred" && notice.at > one.came)
-            accuse("effect-twice",
+          if (notice.status == "deferred" && notice.at > one.received_at)
+            report("effect-twice",
                    "binding " + id + " may have run in " + one.relay +
                        "'s call and was given back to be handed in again by " + notice.relay,
-                   {id}, doc.handed, notice.at);
+                   {id}, doc.submitted_at, notice.at);
       }
     }
   }
 
   // A numbered one goes again only with its mark, inside its key group and window.
-  void windows() {
-    for (const auto& [id, doc] : docs_) {
+  void check_windows() {
+    for (const auto& [id, doc] : documents_) {
       if (doc.relay.empty()) continue;
       const Type& type = types_[doc.type];
       for (const auto& call : doc.calls)
-        if (call.mark != doc.mark)
-          accuse("mark", id + " went with the mark '" + call.mark + "', not '" + doc.mark + "'", {id},
-                 doc.handed, call.came);
+        if (call.idempotency_key != doc.idempotency_key)
+          report("mark",
+                 id + " went with the mark '" + call.idempotency_key + "', not '" + doc.idempotency_key + "'",
+                 {id}, doc.submitted_at, call.received_at);
       if (type.repeat != "keyed") continue;
-      bool excused =
-          copies() > 0 ? lost_holders(doc.handed, end_) > 1 : folder_lost(doc.relay, doc.handed, end_);
+      bool excused = copies() > 0 ? lost_member_count(doc.submitted_at, end_) > 1
+                                  : folder_was_lost(doc.relay, doc.submitted_at, end_);
       if (excused) continue;
-      const Call* risked = nullptr;
+      const Call* risky = nullptr;
       for (const auto& call : doc.calls) {
-        if (risked && call.began > risked->began + type.window + on_its_way)
-          accuse("window",
-                 "numbered " + id + " was sent again " + ms(call.began - risked->began) +
+        if (risky && call.began > risky->began + type.window + delivery_slack)
+          report("window",
+                 "numbered " + id + " was sent again " + ms(call.began - risky->began) +
                      " ms after a call that may have run",
-                 {id}, doc.handed, call.came);
-        if (risked && type.scope == "zone" && hall_of_[call.endpoint] != hall_of_[risked->endpoint])
-          accuse("window", "numbered " + id + " was sent again outside its key group", {id}, doc.handed,
-                 call.came);
-        if (!risked && !call.never_ran()) risked = &call;
+                 {id}, doc.submitted_at, call.received_at);
+        if (risky && type.scope == "zone" && zone_of_[call.endpoint] != zone_of_[risky->endpoint])
+          report("window", "numbered " + id + " was sent again outside its key group", {id}, doc.submitted_at,
+                 call.received_at);
+        if (!risky && !call.surely_not_run()) risky = &call;
       }
     }
   }
 
   // Nothing to an endpoint that drains or is gone, once its grace after the telling is over. A stalled
   // process hears when it goes on.
-  void drains() {
-    auto grace = set_.number("grace");
-    for (const auto& [id, doc] : docs_)
+  void check_drains() {
+    auto grace = settings_.number("grace");
+    for (const auto& [id, doc] : documents_)
       for (const auto& call : doc.calls) {
-        auto told = told_.find({call.relay, call.endpoint});
-        if (told == told_.end()) continue;
+        auto told = listed_states_.find({call.relay, call.endpoint});
+        if (told == listed_states_.end()) continue;
         Time since = never;
         for (const auto& line : told->second) {
           if (line.at > call.began) break;
-          if (line.of("state") == "Ready") since = never;
+          if (line.field("state") == "Ready") since = never;
           else since = std::min(since, line.at);
         }
         if (since == never) continue;
         for (const auto& stall : relays_.at(call.relay).stalled)
-          if (stall.meets(since, call.began)) since = std::max(since, stall.to);
+          if (stall.overlaps(since, call.began)) since = std::max(since, stall.to);
         if (call.began > since + grace + drain_slack)
-          accuse("drain",
+          report("drain",
                  call.relay + " called " + call.endpoint + " " + ms(call.began - since) +
                      " ms after it was told that it goes",
-                 {id}, since, call.came, call.endpoint);
+                 {id}, since, call.received_at, call.endpoint);
       }
   }
 
   // A destination that returns from an outage is not pushed over by those who knew: by a failed call there,
   // or by word of one who had it.
-  void cold_returns() {
-    auto multiple = set_.number("multiple"), start = set_.number("start"), warm = set_.number("warm"),
-         fall = set_.number("fall");
+  void check_cold_returns() {
+    auto multiple = settings_.number("multiple"), start = settings_.number("start"),
+         warm = settings_.number("warm"), fall = settings_.number("fall");
     std::map<std::string, std::vector<const Call*>> calls;
-    for (const auto& [id, doc] : docs_)
+    for (const auto& [id, doc] : documents_)
       for (const auto& call : doc.calls) calls[call.dest].push_back(&call);
-    for (const auto& [endpoint, changes] : failing_) {
-      auto dest = dest_of_[endpoint];
-      auto here =
-          std::count_if(dest_of_.begin(), dest_of_.end(), [&](auto& at) { return at.second == dest; });
+    for (const auto& [endpoint, changes] : outage_changes_) {
+      auto dest = destination_of_[endpoint];
+      auto here = std::count_if(destination_of_.begin(), destination_of_.end(),
+                                [&](auto& at) { return at.second == dest; });
       if (here > 1) continue;  // its other endpoints were up
       auto& all = calls[dest];
-      std::sort(all.begin(), all.end(), [](const Call* a, const Call* b) { return a->came < b->came; });
+      std::sort(all.begin(), all.end(),
+                [](const Call* a, const Call* b) { return a->received_at < b->received_at; });
       for (std::size_t i = 1; i < changes.size(); ++i) {
         if (changes[i].second || !changes[i - 1].second) continue;
         Time down = changes[i - 1].first, back = changes[i].first;
-        if (back - down < fall) continue;  // too short to be an outage that all agree on
-        std::map<std::string, Time> knew;  // by relay: since when
+        if (back - down < fall) continue;            // too short to be an outage that all agree on
+        std::map<std::string, Time> informed_since;  // by relay: since when
         for (const Call* call : all)
-          if (call->came >= down && call->came < back) {
+          if (call->received_at >= down && call->received_at < back) {
             auto failed = call->answered < never && call->status != 200 ? call->answered
                           : call->broke < never                         ? call->broke
                                                                         : never;
-            if (failed < back && !knew.count(call->relay)) knew[call->relay] = failed;
+            if (failed < back && !informed_since.count(call->relay)) informed_since[call->relay] = failed;
           }
         // A refused connection leaves no line of its own: a relay that was handed a message for it early
         // enough in the outage, and ran on, has tried.
-        for (const auto& [id, doc] : docs_) {
-          bool tried = doc.dest == dest && doc.handed >= down && doc.handed < back - surely_tried;
-          if (tried && doc.what == "OK" && !knew.count(doc.relay) &&
-              relays_[doc.relay].runs_throughout(doc.handed, doc.handed + surely_tried))
-            knew[doc.relay] = doc.handed + surely_tried;
+        for (const auto& [id, doc] : documents_) {
+          bool tried = doc.dest == dest && doc.submitted_at >= down && doc.submitted_at < back - tried_within;
+          if (tried && doc.answer == "OK" && !informed_since.count(doc.relay) &&
+              relays_[doc.relay].runs_throughout(doc.submitted_at, doc.submitted_at + tried_within))
+            informed_since[doc.relay] = doc.submitted_at + tried_within;
         }
-        auto direct = knew;
+        auto direct = informed_since;
         for (const auto& [relay, since] : direct)
           for (const auto& [other, state] : relays_)
-            if (!knew.count(other) && !state.twin && surely_heard(relay, other, since, back))
-              knew[other] = since;
+            if (!informed_since.count(other) && !state.is_duplicate &&
+                surely_informed(relay, other, since, back))
+              informed_since[other] = since;
         for (std::size_t last = 0, first = 0; last < all.size(); ++last) {
-          Time to = all[last]->came;
+          Time to = all[last]->received_at;
           if (to < back || to > back + warm) continue;  // once warm it bears what it always does
           auto from = std::max(back, to - fall);
-          while (all[first]->came < from) ++first;
+          while (all[first]->received_at < from) ++first;
           auto share_at = [&](Time at) { return start + (1 - start) * std::min(1.0, (at - back) / warm); };
           auto most = multiple * rate_of_[dest] * fall / 1000 * (share_at(from) + share_at(to)) / 2;
           double count = static_cast<double>(last - first + 1), by_knowing = 0;
-          for (std::size_t k = first; k <= last; ++k) by_knowing += knew.count(all[k]->relay);
+          for (std::size_t k = first; k <= last; ++k) by_knowing += informed_since.count(all[k]->relay);
           if (count > most + 2 * std::sqrt(most) + 2 && by_knowing > count * 2 / 3) {
-            accuse("pushed-over",
+            report("pushed-over",
                    "destination " + dest + " returned cold and got " + ms(count) + " calls in " + ms(fall) +
                        " ms, " + ms(by_knowing) + " of relays that knew; it bore " + ms(most),
                    {}, down, to, dest);
@@ -607,85 +617,89 @@
   }
 
   // Documents of one key go one at a time, in the order in which one process of one relay took them.
-  void order() {
-    std::map<std::string, std::vector<const Doc*>> by_key;
-    for (const auto& [id, doc] : docs_)
-      if (!doc.relay.empty() && types_[doc.type].ordered && doc.what == "OK" && doc.key != "0")
+  void check_order() {
+    std::map<std::string, std::vector<const Document*>> by_key;
+    for (const auto& [id, doc] : documents_)
+      if (!doc.relay.empty() && types_[doc.type].ordered && doc.answer == "OK" && doc.key != "0")
         by_key[doc.relay + " " + std::to_string(doc.life) + " " + doc.key + " " + doc.client].push_back(&doc);
     for (auto& [key, docs] : by_key) {
-      std::sort(docs.begin(), docs.end(), [](const Doc* a, const Doc* b) { return a->place < b->place; });
+      std::sort(docs.begin(), docs.end(),
+                [](const Document* a, const Document* b) { return a->sequence < b->sequence; });
       for (std::size_t i = 0; i < docs.size(); ++i)
         for (std::size_t j = i + 1; j < docs.size(); ++j) {
-          const Doc &before = *docs[i], &after = *docs[j];
+          const Document &before = *docs[i], &after = *docs[j];
           Time over = never;
           for (const auto& call : before.calls)
             if (call.status == 200 || call.status == 410) over = std::min(over, call.answered);
           for (const auto& notice : before.notices) over = std::min(over, notice.at);
           for (const auto& call : after.calls)
             // The notice of an end comes a little later than the end.
-            if (call.relay == before.relay && call.life == before.life && call.came + on_its_way < over)
-              accuse("order",
+            if (call.relay == before.relay && call.life == before.life &&
+                call.received_at + delivery_slack < over)
+              report("order",
                      after.id + " went before " + before.id + ", of the same key and taken earlier, was over",
-                     {before.id, after.id}, before.handed, call.came);
+                     {before.id, after.id}, before.submitted_at, call.received_at);
         }
     }
   }
 
   // A told wait holds to its end: for the relay told, also in its next process where its folder was kept, and
   // with sharing for all that surely heard of it.
-  void waits() {
-    struct Told {
+  void check_waits() {
+    struct ToldWait {
       const Call* call;
       Time until;
     };
-    std::map<std::string, std::vector<Told>> by_dest;
-    for (const auto& [id, doc] : docs_)
+    std::map<std::string, std::vector<ToldWait>> by_dest;
+    for (const auto& [id, doc] : documents_)
       for (const auto& call : doc.calls)
-        if (call.wait > 0 && call.answered < never && heard(call))
+        if (call.wait > 0 && call.answered < never && answer_was_read(call))
           by_dest[call.dest].push_back({&call, call.answered + call.wait});
-    for (const auto& [id, doc] : docs_)
+    for (const auto& [id, doc] : documents_)
       for (const auto& call : doc.calls)
         for (const auto& told : by_dest[call.dest]) {
           const Call& refused = *told.call;
-          if (call.began >= told.until - told_slack || call.began <= refused.answered + on_its_way) continue;
+          if (call.began >= told.until - wait_slack || call.began <= refused.answered + delivery_slack)
+            continue;
           bool same = call.relay == refused.relay;
           if (same) {
             bool again = call.life != refused.life;
-            if (again && (!share() || folder_lost(call.relay, refused.answered, call.began) ||
+            if (again && (!share() || folder_was_lost(call.relay, refused.answered, call.began) ||
                           disk_was_full(call.relay)))
               continue;
             // Killed in the moment after the answer: it may not have been written down yet.
             if (again &&
-                !relays_.at(call.relay).runs_throughout(refused.answered, refused.answered + surely_known))
+                !relays_.at(call.relay).runs_throughout(refused.answered, refused.answered + known_within))
               continue;
-            accuse("wait",
+            report("wait",
                    call.relay + " called destination " + call.dest + " " + ms(told.until - call.began) +
                        " ms before the end of a wait that it was told" + (again ? " in its life before" : ""),
-                   {refused.id, id}, refused.answered, call.came, call.dest);
-          } else if (surely_heard(refused.relay, call.relay, refused.answered, call.began)) {
-            accuse("shared-wait",
+                   {refused.id, id}, refused.answered, call.received_at, call.dest);
+          } else if (surely_informed(refused.relay, call.relay, refused.answered, call.began)) {
+            report("shared-wait",
                    call.relay + " called destination " + call.dest + " " + ms(told.until - call.began) +
                        " ms before the end of a wait that " + refused.relay + " was told " +
                        ms(call.began - refused.answered) + " ms before",
-                   {refused.id, id}, refused.answered, call.came, call.dest);
+                   {refused.id, id}, refused.answered, call.received_at, call.dest);
           }
         }
   }
   // Nor is a connection opened to a destination under a told wait: not for a document, and not ahead of one.
-  void opened_ahead() {
-    for (const auto& [id, doc] : docs_)
+  void check_opened_ahead() {
+    for (const auto& [id, doc] : documents_)
       for (const auto& refused : doc.calls) {
-        if (refused.wait <= 0 || !heard(refused)) continue;
+        if (refused.wait <= 0 || !answer_was_read(refused)) continue;
         auto until = refused.answered + refused.wait;
-        for (const auto& conn : conns_) {
-          auto relay = conn.of("r");
-          if (conn.of("dest") != refused.dest || conn.at >= until - told_slack ||
-              conn.at <= refused.answered + on_its_way)
+        for (const auto& conn : connections_) {
+          auto relay = conn.field("r");
+          if (conn.field("dest") != refused.dest || conn.at >= until - wait_slack ||
+              conn.at <= refused.answered + delivery_slack)
             continue;
-          bool knew = relay == refused.relay ? relays_.at(relay).life(conn.at) == refused.life
-                                             : surely_heard(refused.relay, relay, refused.answered, conn.at);
-          if (knew)
-            accuse("opened",
+          bool informed_since = relay == refused.relay
+                                    ? relays_.at(relay).life(conn.at) == refused.life
+                                    : surely_informed(refused.relay, relay, refused.answered, conn.at);
+          if (informed_since)
+            report("opened",
                    relay + " opened a connection to destination " + refused.dest + " " + ms(until - conn.at) +
                        " ms before the end of a wait that it knew of",
                    {id}, refused.answered, conn.at, refused.dest);
@@ -695,59 +709,63 @@
   bool disk_was_full(const std::string& relay) const { return !relays_.at(relay).disk_full.empty(); }
 
   // An endpoint taken out by staff gets nothing from that relay, nor from those that surely heard of it.
-  void staff() {
-    for (const auto& [endpoint, orders] : staff_)
+  void check_offline() {
+    for (const auto& [endpoint, orders] : offline_orders_)
       for (std::size_t i = 0; i < orders.size(); ++i) {
         if (orders[i].kind != "out") continue;
         auto until = i + 1 < orders.size() ? orders[i + 1].at : never;
-        auto relay = orders[i].of("r");
-        for (const auto& [id, doc] : docs_)
+        auto relay = orders[i].field("r");
+        for (const auto& [id, doc] : documents_)
           for (const auto& call : doc.calls) {
-            if (call.endpoint != endpoint || call.began < orders[i].at + on_its_way || call.began >= until)
+            if (call.endpoint != endpoint || call.began < orders[i].at + delivery_slack ||
+                call.began >= until)
               continue;
-            if (call.relay == relay ? folder_lost(relay, orders[i].at, call.began)
-                                    : !surely_heard(relay, call.relay, orders[i].at, call.began))
+            if (call.relay == relay ? folder_was_lost(relay, orders[i].at, call.began)
+                                    : !surely_informed(relay, call.relay, orders[i].at, call.began))
               continue;
-            accuse("out", call.relay + " called " + endpoint + ", taken out by staff at " + relay, {id},
-                   orders[i].at, call.came, endpoint);
+            report("out", call.relay + " called " + endpoint + ", taken out by staff at " + relay, {id},
+                   orders[i].at, call.received_at, endpoint);
           }
       }
   }
 
   // Of streams: no subscriber is taken back to an older version of a key that it has had.
-  void versions() {
+  void check_versions() {
     std::map<std::pair<std::string, std::string>, std::vector<const Call*>> had;  // by destination and key
     for (const auto& [call, doc] : deliveries_) {
       had[{call->dest, call->key}].push_back(call);
-      if (call->mark != doc->mark)
-        accuse("mark", call->id + " went with the mark '" + call->mark + "', not '" + doc->mark + "'",
-               {call->id}, call->began, call->came);
+      if (call->idempotency_key != doc->idempotency_key)
+        report("mark",
+               call->id + " went with the mark '" + call->idempotency_key + "', not '" +
+                   doc->idempotency_key + "'",
+               {call->id}, call->began, call->received_at);
     }
     for (auto& [place, calls] : had) {
-      std::sort(calls.begin(), calls.end(), [](const Call* a, const Call* b) { return a->came < b->came; });
+      std::sort(calls.begin(), calls.end(),
+                [](const Call* a, const Call* b) { return a->received_at < b->received_at; });
       const Call* newest = nullptr;
       for (const Call* call : calls) {
         if (newest && call->version < newest->version)
-          accuse("backwards",
+          report("backwards",
                  "subscriber " + place.first + " had version " + std::to_string(newest->version) +
                      " of key " + place.second + " and then got version " + std::to_string(call->version) +
                      " from " + call->relay,
-                 {newest->id, call->id}, newest->came, call->came, place.first);
+                 {newest->id, call->id}, newest->received_at, call->received_at, place.first);
         if ((!newest || call->version > newest->version) && call->status == 200) newest = call;  // it had it
       }
     }
   }
   // Where the trial ends well after all faults: each subscriber that is listed has the latest of each key,
   // also one that joined late.
-  void convergence() {
+  void check_convergence() {
     Time quiet = -1;
     for (const auto& line : lines_)
       if (line.kind == "quiet") quiet = line.at;
     if (quiet < 0) return;
-    std::map<std::pair<std::string, std::string>, const Doc*> latest;  // by type and key
-    for (const auto& [id, doc] : docs_)
+    std::map<std::pair<std::string, std::string>, const Document*> latest;  // by type and key
+    for (const auto& [id, doc] : documents_)
       if (auto type = types_.find(doc.type);
-          type != types_.end() && !type->second.subscribers.empty() && doc.what == "OK" && doc.key != "0") {
+          type != types_.end() && !type->second.subscribers.empty() && doc.answer == "OK" && doc.key != "0") {
         auto& newest = latest[{doc.type, doc.key}];
         if (!newest || newest->version < doc.version) newest = &doc;
       }
@@ -763,42 +781,42 @@
       for (const auto& [place, doc] : latest) {
         const auto& key = place.second;
         // One that joined after a key's end has nothing to be told of it.
-        if (!types_[doc->type].subscribers.count(line.of("dest")) || (doc->tombstone && joined > doc->said) ||
-            lost_holders(0, end_) > 1)
+        if (!types_[doc->type].subscribers.count(line.field("dest")) ||
+            (doc->tombstone && joined > doc->answered_at) || lost_member_count(0, end_) > 1)
           continue;
-        auto found = had.find({line.of("dest"), doc->type + " " + key});
+        auto found = had.find({line.field("dest"), doc->type + " " + key});
         if (found != had.end() && found->second >= doc->version) continue;
-        bool late = joined > doc->said;
-        accuse(late ? "joiner" : "convergence",
-               "subscriber " + line.of("dest") + (late ? ", which joined late," : "") +
+        bool late = joined > doc->answered_at;
+        report(late ? "joiner" : "convergence",
+               "subscriber " + line.field("dest") + (late ? ", which joined late," : "") +
                    " never got version " + std::to_string(doc->version) + " of key " + key + ", the latest",
-               {doc->id}, doc->handed, end_, line.of("dest"));
+               {doc->id}, doc->submitted_at, end_, line.field("dest"));
       }
     }
   }
 
   std::vector<Line> lines_;
-  Line set_;
+  Line settings_;
   std::map<std::string, Type> types_;
   std::map<std::string, Relay> relays_;
-  std::map<std::string, Doc> docs_;
+  std::map<std::string, Document> documents_;
   std::vector<Delivery> deliveries_;
-  std::map<std::string, std::string> dest_of_, hall_of_;
+  std::map<std::string, std::string> destination_of_, zone_of_;
   std::map<std::string, double> rate_of_;
-  std::map<std::pair<std::string, std::string>, std::vector<Span>> cuts_;
-  std::map<std::pair<std::string, std::string>, std::vector<Line>> told_;
-  std::map<std::string, std::vector<std::pair<Time, bool>>> failing_;
-  std::map<std::string, std::vector<Line>> staff_;
-  std::vector<Time> disturbances_, linked_;
-  std::vector<Line> conns_;
-  int handed_ = 0;
+  std::map<std::pair<std::string, std::string>, std::vector<Interval>> cuts_;
+  std::map<std::pair<std::string, std::string>, std::vector<Line>> listed_states_;
+  std::map<std::string, std::vector<std::pair<Time, bool>>> outage_changes_;
+  std::map<std::string, std::vector<Line>> offline_orders_;
+  std::vector<Time> disturbances_, all_linked_at_;
+  std::vector<Line> connections_;
+  int submitted_count_ = 0;
   Time end_ = 0;
-  std::set<std::string> accused_;
-  std::vector<Broken> broken_;
+  std::set<std::string> reported_;
+  std::vector<Violation> violations_;
 };
 
 }  // namespace
 
-std::vector<Broken> audit(const std::string& log) { return Trial(log).judge(); }
+std::vector<Violation> audit(const std::string& log) { return Auditor(log).run_checks(); }
 
 }  // namespace rockcrank::trial
--- a/src/trial/auditor.h
+++ b/src/trial/auditor.h
@@ -8,13 +8,13 @@
 
 namespace rockcrank::trial {
 
-struct Broken {
-  std::string rule;                // one word, by which planted breaks name it
-  std::string what;                // one line
-  std::vector<std::string> story;  // the lines of the log that bear on it, in order
+struct Violation {
+  std::string check;                  // one word, by which planted breaks name it
+  std::string summary;                // one line
+  std::vector<std::string> evidence;  // the lines of the log that bear on it, in order
 };
 
 // Throws std::runtime_error where the log cannot be read.
-std::vector<Broken> audit(const std::string& log);
+std::vector<Violation> audit(const std::string& log);
 
 }  // namespace rockcrank::trial
--- /dev/null
+++ b/src/trial/cold_returns.cpp
@@ -0,0 +1,133 @@
+// What is drawn for a cold return, and when; cold.h says what this owns.
+#include "trial/cold_returns.h"
+
+#include <algorithm>
+#include <random>
+#include <utility>
+#include <vector>
+
+#include "trial/schedule.h"
+
+namespace rockcrank::trial {
+namespace {
+
+constexpr int destinations = 3;
+constexpr Millis rates_known_at = 9000;  // by then each relay knows its own rate
+constexpr Millis watched_after = 8000;   // the last return
+constexpr Millis ends_timeout = 15000;
+constexpr double documents_per_second = 9;  // for one destination, from all relays
+const char* const outages[] = {"down", "silent", "500", "shut", "reset"};
+
+class ColdReturns {
+ public:
+  explicit ColdReturns(Harness& harness) : names_(harness.relay_names()), random_(harness.setup().seed) {
+    draw_outages();
+    draw_restarts();
+    draw_load();
+  }
+  Schedule& schedule() { return schedule_; }
+  Millis end() const { return last_return_ + watched_after; }
+
+ private:
+  double between(double low, double high) {
+    return std::uniform_real_distribution<double>(low, high)(random_);
+  }
+  int below(int count) { return static_cast<int>(between(0, count)); }
+  void schedule_action(Millis at, Schedule::Action action) { schedule_.add(at, std::move(action)); }
+
+  // One destination or two fail, for a while that all relays with messages notice.
+  void draw_outages() {
+    int failing = 1 + below(2);
+    for (int i = 1; i <= failing; ++i) {
+      std::string endpoint = "e" + std::to_string(i);
+      std::string manner = outages[below(std::size(outages))];
+      Millis from = rates_known_at + between(0, 1500), to = from + between(5000, 8000);
+      schedule_action(from, [=](Harness& harness) { harness.set_endpoint(endpoint, {{"manner", manner}}); });
+      schedule_action(to, [=](Harness& harness) {
+        harness.set_endpoint(endpoint, {{"manner", "200"}, {"after", "60"}});
+      });
+      last_return_ = std::max(last_return_, to);
+    }
+  }
+
+  // One, several or most of the relays are killed or stalled once, in the outage or the return.
+  void draw_restarts() {
+    double share = between(0, 1) < 0.3 ? 0.03 : between(0.1, 0.8);
+    Millis first = rates_known_at + 2000, last = last_return_ + 4000;
+    Millis together = between(first, last);
+    bool at_once = below(2) == 0;
+    for (const auto& relay : names_) {
+      if (between(0, 1) > share) continue;
+      Millis from = at_once ? together : between(first, last);
+      Millis to = from + between(300, 900);
+      if (between(0, 1) < 0.2) {
+        schedule_action(from, [=](Harness& harness) { harness.suspend(relay); });
+        schedule_action(to, [=](Harness& harness) { harness.resume(relay); });
+        continue;
+      }
+      schedule_action(from, [=](Harness& harness) { harness.kill(relay); });
+      schedule_action(to, [=](Harness& harness) { harness.start_without_waiting(relay, {}); });
+    }
+  }
+
+  // Some relays see several times the mean.
+  void draw_load() {
+    std::lognormal_distribution<double> skew(0, 0.7);
+    std::vector<double> weights;
+    for (std::size_t i = 0; i < names_.size(); ++i) weights.push_back(skew(random_));
+    std::discrete_distribution<std::size_t> relay(weights.begin(), weights.end());
+    static const char* const types[] = {"plain", "plain", "numbered", "binding"};
+    int number = 0;
+    Millis mean_gap = 1000 / (documents_per_second * destinations);
+    for (Millis at = 0; at < end() - 2000; at += between(0.2, 1.8) * mean_gap) {
+      std::string id = "d" + std::to_string(++number), name = names_[relay(random_)];
+      Options words{{"type", types[below(4)]},
+                    {"for", std::to_string(1 + below(destinations))},
+                    {"left", std::to_string(9000 + below(6000))},
+                    {"c", "c" + std::to_string(below(2))}};
+      schedule_action(at, [=](Harness& harness) {
+        if (harness.is_running(name) && !harness.is_suspended(name)) harness.submit(name, id, words);
+      });
+    }
+  }
+
+  std::vector<std::string> names_;
+  std::mt19937_64 random_;
+  Schedule schedule_;
+  Millis last_return_ = 0;
+};
+
+}  // namespace
+
+void set_up_cold_returns(Setup& setup) {
+  setup.fleet = setup.share = false;
+  setup.settings["rules"]["startCapacity"] = 0.15;
+  setup.settings["rules"]["warmWithinUs"] = 9000000;
+}
+
+std::string play_cold_returns(Harness& harness) {
+  for (int i = 1; i <= destinations; ++i)
+    harness.set_endpoint("e" + std::to_string(i),
+                         {{"for", std::to_string(i)}, {"rate", "12"}, {"after", "60"}});
+  for (const auto& relay : harness.relay_names()) harness.start_without_waiting(relay, {});
+  for (const auto& relay : harness.relay_names())
+    if (!harness.start(relay, {})) return relay + " does not answer; its log:\n" + harness.process_log(relay);
+  ColdReturns play(harness);
+  Millis start = harness.now();
+  play.schedule().play(harness);
+  harness.run_until(start + play.end() - harness.now(), [] { return false; });
+  for (const auto& relay : harness.relay_names()) {
+    harness.resume(relay);
+    if (!harness.start(relay, {}))
+      return relay + " does not come up again; its log:\n" + harness.process_log(relay);
+  }
+  harness.run_until(ends_timeout, [&] {
+    return harness.all_submissions_answered() && harness.documents_without_end().empty();
+  });
+  for (const auto& relay : harness.relay_names())
+    if (harness.process_has_logged(relay, "event=violation"))
+      return relay + " counted a violation of its own";
+  return {};
+}
+
+}  // namespace rockcrank::trial
--- a/src/trial/cold.h
+++ b/src/trial/cold_returns.h
@@ -5,12 +5,12 @@
 
 #include <string>
 
-#include "trial/rig.h"
+#include "trial/harness.h"
 
 namespace rockcrank::trial {
 
-void draw_cold_world(Setup& setup);
+void set_up_cold_returns(Setup& setup);
 // Empty: played to its end; else what kept it from being played.
-std::string play_cold_returns(Rig& rig);
+std::string play_cold_returns(Harness& harness);
 
 }  // namespace rockcrank::trial
--- a/src/trial/ring.cpp
+++ b/src/trial/event_loop.cpp
@@ -1,6 +1,6 @@
 // poll(2) over the trial's sockets; ring.h says what it owns.
 
-#include "trial/ring.h"
+#include "trial/event_loop.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -17,16 +17,16 @@
 namespace rockcrank::trial {
 namespace {
 
-constexpr std::size_t unsent_most = 4 << 20;  // a proxy that is told to hold bytes holds no more
+constexpr std::size_t max_unsent_bytes = 4 << 20;  // a proxy that is told to hold bytes holds no more
 
-sockaddr_in to_sockaddr(const Place& place) {
+sockaddr_in to_sockaddr(const Address& address) {
   sockaddr_in at{};
-  at.sin_family = AF_INET, at.sin_port = htons(static_cast<std::uint16_t>(place.port));
-  inet_pton(AF_INET, place.host.c_str(), &at.sin_addr);
+  at.sin_family = AF_INET, at.sin_port = htons(static_cast<std::uint16_t>(address.port));
+  inet_pton(AF_INET, address.host.c_str(), &at.sin_addr);
   return at;
 }
 
-int fresh_socket() {
+int create_socket() {
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0), on = 1;
   if (fd < 0) throw std::runtime_error("no socket is to be had");
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -35,108 +35,110 @@
 
 }  // namespace
 
-Ring::Ring() {
-  look_at_clock();
-  begun_ = now_, now_ = 0;
+EventLoop::EventLoop() {
+  update_clock();
+  started_at_ = now_, now_ = 0;
 }
-Ring::~Ring() {
-  for (auto& [id, sock] : socks_) ::close(sock->fd);
+EventLoop::~EventLoop() {
+  for (auto& [id, sock] : sockets_) ::close(sock->fd);
 }
 
-void Ring::look_at_clock() {
+void EventLoop::update_clock() {
   auto since = std::chrono::steady_clock::now().time_since_epoch();
-  now_ = std::chrono::duration<double, std::milli>(since).count() - begun_;
+  now_ = std::chrono::duration<double, std::milli>(since).count() - started_at_;
 }
 
-Sock& Ring::add(int fd) {
-  auto sock = std::make_unique<Sock>();
-  sock->id = ++last_, sock->fd = fd;
-  return *(socks_[last_] = std::move(sock));
+Socket& EventLoop::add(int fd) {
+  auto sock = std::make_unique<Socket>();
+  sock->id = ++last_id_, sock->fd = fd;
+  return *(sockets_[last_id_] = std::move(sock));
 }
 
-Sock* Ring::find(std::uint64_t id) {
-  auto found = socks_.find(id);
-  return found == socks_.end() ? nullptr : found->second.get();
+Socket* EventLoop::find(std::uint64_t id) {
+  auto found = sockets_.find(id);
+  return found == sockets_.end() ? nullptr : found->second.get();
 }
 
-Sock* Ring::listen(const Place& place) {
-  int fd = fresh_socket(), on = 1;
+Socket* EventLoop::listen(const Address& address) {
+  int fd = create_socket(), on = 1;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  auto at = to_sockaddr(place);
+  auto at = to_sockaddr(address);
   if (bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 || ::listen(fd, 256) != 0) {
     ::close(fd);
-    throw std::runtime_error("cannot listen at " + place.text());
+    throw std::runtime_error("cannot listen at " + address.text());
   }
-  Sock& sock = add(fd);
+  Socket& sock = add(fd);
   sock.listening = true;
   return &sock;
 }
 
-Sock* Ring::connect(const Place& place) {
-  Sock& sock = add(fresh_socket());
-  auto to = to_sockaddr(place);
+Socket* EventLoop::connect(const Address& address) {
+  Socket& sock = add(create_socket());
+  auto to = to_sockaddr(address);
   sock.connecting = true;
   if (::connect(sock.fd, reinterpret_cast<sockaddr*>(&to), sizeof to) != 0 && errno != EINPROGRESS)
-    at(now_, [this, id = sock.id] {
-      if (Sock* failed = find(id)) ended(*failed);
+    schedule(now_, [this, id = sock.id] {
+      if (Socket* failed = find(id)) handle_closed(*failed);
     });
   return &sock;
 }
 
-void Ring::send(Sock& sock, std::string_view bytes) {
+void EventLoop::send(Socket& sock, std::string_view bytes) {
   if (sock.fd < 0) return;
   sock.out += bytes;
   if (!sock.connecting) write(sock);
 }
 
-void Ring::close(Sock& sock, bool reset) {
-  auto found = socks_.find(sock.id);
-  if (found == socks_.end()) return;
+void EventLoop::close(Socket& sock, bool reset) {
+  auto found = sockets_.find(sock.id);
+  if (found == sockets_.end()) return;
   linger hard{1, 0};
   if (reset) setsockopt(sock.fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
   ::close(sock.fd);
   sock.fd = -1;
-  buried_.push_back(std::move(found->second));
-  socks_.erase(found);
+  closed_.push_back(std::move(found->second));
+  sockets_.erase(found);
 }
 
-void Ring::ended(Sock& sock) {
-  auto told = sock.on_end;
+void EventLoop::handle_closed(Socket& sock) {
+  auto callback = sock.on_closed;
   close(sock);
-  if (told) told();
+  if (callback) callback();
 }
 
-void Ring::at(Millis when, std::function<void()> due) { due_.emplace(when, std::move(due)); }
+void EventLoop::schedule(Millis when, std::function<void()> callback) {
+  timers_.emplace(when, std::move(callback));
+}
 
-void Ring::write(Sock& sock) {
+void EventLoop::write(Socket& sock) {
   while (!sock.out.empty()) {
     auto count = ::send(sock.fd, sock.out.data(), sock.out.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (count <= 0) break;  // an end is seen by reading
     sock.out.erase(0, static_cast<std::size_t>(count));
   }
-  if (sock.out.size() > unsent_most || (sock.out.empty() && sock.ends_when_sent)) close(sock);
+  if (sock.out.size() > max_unsent_bytes || (sock.out.empty() && sock.closes_when_sent)) close(sock);
 }
 
-void Ring::read(Sock& sock) {
+void EventLoop::read(Socket& sock) {
   char bytes[65536];
   auto count = recv(sock.fd, bytes, sizeof bytes, MSG_DONTWAIT);
   if (count < 0 && (errno == EAGAIN || errno == EINTR)) return;
-  if (count <= 0) return ended(sock);
-  if (sock.in.empty()) sock.first_at = now_;
+  if (count <= 0) return handle_closed(sock);
+  if (sock.in.empty()) sock.first_byte_at = now_;
   sock.in.append(bytes, static_cast<std::size_t>(count));
   if (sock.on_data) {
-    auto told = sock.on_data;  // it may close the socket, and be freed with it
-    told();
+    auto callback = sock.on_data;  // it may close the socket, and be freed with it
+    callback();
   }
 }
 
-void Ring::ready(Sock& sock, short events) {
+void EventLoop::handle_events(Socket& sock, short events) {
   if (sock.listening) {
     while (true) {
       int fd = accept4(sock.fd, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK), on = 1;
       if (fd < 0) return;
       setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-      sock.on_taken(add(fd));
+      sock.on_accepted(add(fd));
       if (sock.fd < 0) return;
     }
   }
@@ -144,37 +146,37 @@
     int error = 0;
     socklen_t size = sizeof error;
     getsockopt(sock.fd, SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) return ended(sock);
+    if (error != 0) return handle_closed(sock);
     sock.connecting = false;
-    if (auto told = sock.on_up) told();
+    if (auto callback = sock.on_connected) callback();
     if (sock.fd < 0) return;
   }
   if (events & POLLOUT) write(sock);
   if (sock.fd >= 0 && !sock.paused && (events & (POLLIN | POLLHUP | POLLERR))) read(sock);
 }
 
-void Ring::turn(Millis longest) {
+void EventLoop::run_once(Millis longest_wait) {
   std::vector<pollfd> polled;
   std::vector<std::uint64_t> ids;
-  for (auto& [id, sock] : socks_) {
+  for (auto& [id, sock] : sockets_) {
     short wanted = sock->paused ? 0 : POLLIN;
     if (sock->connecting || !sock->out.empty()) wanted |= POLLOUT;
     if (wanted == 0) continue;
     polled.push_back({sock->fd, wanted, 0}), ids.push_back(id);
   }
-  auto wait = due_.empty() ? longest : std::min(longest, due_.begin()->first - now_);
+  auto wait = timers_.empty() ? longest_wait : std::min(longest_wait, timers_.begin()->first - now_);
   poll(polled.data(), polled.size(), wait <= 0 ? 0 : static_cast<int>(wait) + 1);
-  look_at_clock();
+  update_clock();
   for (std::size_t i = 0; i < ids.size(); ++i)
     if (polled[i].revents != 0)
-      if (Sock* sock = find(ids[i])) ready(*sock, polled[i].revents);
-  look_at_clock();
-  while (!due_.empty() && due_.begin()->first <= now_) {
-    auto due = std::move(due_.begin()->second);
-    due_.erase(due_.begin());
-    due();
+      if (Socket* sock = find(ids[i])) handle_events(*sock, polled[i].revents);
+  update_clock();
+  while (!timers_.empty() && timers_.begin()->first <= now_) {
+    auto callback = std::move(timers_.begin()->second);
+    timers_.erase(timers_.begin());
+    callback();
   }
-  buried_.clear();
+  closed_.clear();
 }
 
 }  // namespace rockcrank::trial
--- a/src/trial/rig.cpp
+++ b/src/trial/harness.cpp
@@ -1,6 +1,6 @@
 // The stand-ins, processes and proxies; rig.h says what it owns.
 
-#include "trial/rig.h"
+#include "trial/harness.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -25,20 +25,20 @@
 
 namespace fs = std::filesystem;
 
-constexpr Millis longest_round = 10;
-constexpr Millis up_within = 8000;  // a process under load of other tests
+constexpr Millis longest_poll = 10;
+constexpr Millis start_timeout = 8000;  // a process under load of other tests
 
-std::string word(const Words& words, const std::string& name, const std::string& absent) {
+std::string option(const Options& words, const std::string& name, const std::string& absent) {
   auto found = words.find(name);
   return found == words.end() ? absent : found->second;
 }
-double number(const Words& words, const std::string& name, double absent) {
+double number(const Options& words, const std::string& name, double absent) {
   auto found = words.find(name);
   return found == words.end() ? absent : std::stod(found->second);
 }
 
 // A word of a document's body, which begins "key=K v=N ".
-std::string told_in(const std::string& body, const std::string& name) {
+std::string body_field(const std::string& body, const std::string& name) {
   auto from = body.find(name + "=");
   if (from != 0 && (from == std::string::npos || body[from - 1] != ' ')) return "";
   from += name.size() + 1;
@@ -79,7 +79,7 @@
 
 }  // namespace
 
-nlohmann::json plain_settings() {
+nlohmann::json default_settings() {
   return nlohmann::json::parse(
       R"({"balancers":3,"az":0,"weightKind":"nominal","tickUs":5000,"zones":["h0","h1"],"skus":["m0","m1"],
     "specifics":{"slots":32,"bundleMax":[1,5],"routesApart":[false,false],"decay":"halving"},
@@ -97,7 +97,7 @@
       {"name":"status","goalTimeUs":2000000,"deadlineUs":20000000,"lateWorth":0.3,"repeat":"safe"}]})");
 }
 
-Rig::Rig(Setup setup) : setup_(std::move(setup)) {
+Harness::Harness(Setup setup) : setup_(std::move(setup)) {
   // An address of this process's own, so that trials side by side never meet.
   auto own = static_cast<unsigned>(getpid());
   host_ = "127." + std::to_string(64 + (own >> 16 & 63)) + "." + std::to_string(own >> 8 & 255) + "." +
@@ -112,14 +112,14 @@
     return out.str();
   };
   auto share = [&](const char* field) { return rules.at(field).dump(); };
-  note("set", {{"grace", ms(rules, "drainGraceUs")},
-               {"multiple", share("fallMultiple")},
-               {"fall", ms(rules, "fallUs")},
-               {"start", share("startCapacity")},
-               {"warm", ms(rules, "warmWithinUs")},
-               {"share", setup_.fleet && setup_.share ? "1" : "0"},
-               {"copies", setup_.fleet && setup_.documents ? "2" : "0"},
-               {"lease", word(setup_.fleet_keys, "documents.lease_ms", "1000")}});
+  record("set", {{"grace", ms(rules, "drainGraceUs")},
+                 {"multiple", share("fallMultiple")},
+                 {"fall", ms(rules, "fallUs")},
+                 {"start", share("startCapacity")},
+                 {"warm", ms(rules, "warmWithinUs")},
+                 {"share", setup_.fleet && setup_.share ? "1" : "0"},
+                 {"copies", setup_.fleet && setup_.documents ? "2" : "0"},
+                 {"lease", option(setup_.fleet_keys, "documents.lease_ms", "1000")}});
   auto streams = [&](const std::string& type) {
     std::string list;
     auto found = setup_.streams.find(type);
@@ -128,31 +128,31 @@
     return list;
   };
   for (const auto& type : setup_.settings.at("classes"))
-    note("type", {{"name", type.at("name")},
-                  {"repeat", type.at("repeat")},
-                  {"scope", type.value("keyScope", "all")},
-                  {"window", ms(type, "windowUs")},
-                  {"ordered", type.value("inOrder", false) ? "1" : "0"},
-                  {"stream", streams(type.at("name"))}});
+    record("type", {{"name", type.at("name")},
+                    {"repeat", type.at("repeat")},
+                    {"scope", type.value("keyScope", "all")},
+                    {"window", ms(type, "windowUs")},
+                    {"ordered", type.value("inOrder", false) ? "1" : "0"},
+                    {"stream", streams(type.at("name"))}});
   for (int i = 1; i <= setup_.relays; ++i) {
     auto name = std::string(1, 'n').append(std::to_string(i));
     Relay& relay = relays_[name];
-    relay.name = name, relay.hall = i % 2 ? "h0" : "h1";
+    relay.name = name, relay.zone = i % 2 ? "h0" : "h1";
   }
   for (auto& [id, relay] : relays_) {
     relay.clients = next_port(), relay.admin = next_port(), relay.agent = next_port(),
     relay.members = next_port();
     fs::create_directories(folder(id) + "/state");
-    note("relay", {{"r", id}});
-    Sock* agent = ring_.listen({host_, relay.agent});
-    agent->on_taken = [this, id = id](Sock& sock) { agent_taken(id, sock); };
+    record("relay", {{"r", id}});
+    Socket* agent = event_loop_.listen({host_, relay.agent});
+    agent->on_accepted = [this, id = id](Socket& sock) { accept_agent(id, sock); };
   }
-  for (const auto& from : names())
-    for (const auto& to : names())
-      if (setup_.fleet && from != to) proxy(from, to);
+  for (const auto& from : relay_names())
+    for (const auto& to : relay_names())
+      if (setup_.fleet && from != to) open_proxy(from, to);
 }
 
-Rig::~Rig() {
+Harness::~Harness() {
   for (auto& [id, relay] : relays_)
     if (relay.pid > 0) ::kill(relay.pid, SIGKILL), waitpid(relay.pid, nullptr, 0);
   if (!std::getenv("ROCKCRANK_TRIAL_KEEP")) {
@@ -163,28 +163,28 @@
   }
 }
 
-std::vector<std::string> Rig::names() const {
+std::vector<std::string> Harness::relay_names() const {
   std::vector<std::string> all;
   for (const auto& [id, relay] : relays_) all.push_back(id);
   return all;
 }
 
-void Rig::note(const std::string& kind, std::vector<std::pair<std::string, std::string>> fields) {
-  log_.push_back({ring_.now(), kind, std::move(fields)});
+void Harness::record(const std::string& kind, std::vector<std::pair<std::string, std::string>> fields) {
+  log_.push_back({event_loop_.now(), kind, std::move(fields)});
   if (setup_.verbose) std::fprintf(stderr, "%s\n", log_.back().text().c_str());
 }
 
 // ---- processes
 
-void Rig::write_files(Relay& relay) {
+void Harness::write_files(Relay& relay) {
   Json config{{"name", relay.name},
-              {"listen", Place{host_, relay.clients}.text()},
-              {"discovery", Place{host_, relay.agent}.text()},
-              {"admin", Place{host_, relay.admin}.text()},
+              {"listen", Address{host_, relay.clients}.text()},
+              {"discovery", Address{host_, relay.agent}.text()},
+              {"admin", Address{host_, relay.admin}.text()},
               {"seed", std::to_string(setup_.seed * 100 + static_cast<unsigned long>(relay.clients % 97))},
               {"limits", {{"sockets", 250}, {"disk_mb", setup_.disk_mb}}},
               {"settings", setup_.settings}};
-  config["settings"]["az"] = relay.hall == "h0" ? 0 : 1;
+  config["settings"]["az"] = relay.zone == "h0" ? 0 : 1;
   config["settings"]["balancers"] = setup_.relays;
   auto id =
       std::find_if(relays_.begin(), relays_.end(), [&](auto& at) { return &at.second == &relay; })->first;
@@ -194,14 +194,14 @@
   toml << "fleet = \"" << (id[0] == 'x' ? "stranger" : "trial") << "\"\nself = \"" << relay.name << "\"\n";
   for (const auto& [member, other] : relays_) {
     if (member[0] == 'x' || member.back() == 'b') continue;
-    auto proxied = proxies_.find({relay.name, member});
-    auto port = member == relay.name        ? relay.members
-                : proxied == proxies_.end() ? other.members
-                                            : proxied->second;
-    toml << "[[member]]\nname = \"" << member << "\"\nhall = \"" << other.hall << "\"\nat = \""
-         << Place{host_, port}.text() << "\"\n";
+    auto proxied = proxy_ports_.find({relay.name, member});
+    auto port = member == relay.name            ? relay.members
+                : proxied == proxy_ports_.end() ? other.members
+                                                : proxied->second;
+    toml << "[[member]]\nname = \"" << member << "\"\nhall = \"" << other.zone << "\"\nat = \""
+         << Address{host_, port}.text() << "\"\n";
   }
-  std::map<std::string, Words> sections;
+  std::map<std::string, Options> sections;
   sections["link"] = {{"queue_kb", "1024"}, {"frame_kb", "256"}};
   if (setup_.share) sections["share"] = {{"on", "true"}};
   if (setup_.documents)
@@ -227,13 +227,13 @@
     toml << "[[stream]]\ntype = \"" << type << "\"\nkeep = \"latest\"\nsubscribers = [";
     for (std::size_t i = 0; i < subscribers.size(); ++i) toml << (i ? ", " : "") << subscribers[i];
     toml << "]\n";
-    Words keys{{"tombstone_life_ms", "4000"}, {"least_age_ms", "500"}, {"superseded_share", "0.3"}};
+    Options keys{{"tombstone_life_ms", "4000"}, {"least_age_ms", "500"}, {"superseded_share", "0.3"}};
     for (auto& [key, value] : keys)
-      toml << key << " = " << word(setup_.fleet_keys, "stream." + key, value) << "\n";
+      toml << key << " = " << option(setup_.fleet_keys, "stream." + key, value) << "\n";
   }
 }
 
-pid_t Rig::spawn(const std::string& folder, const Words& variables, std::uint64_t file_bytes) {
+pid_t Harness::spawn(const std::string& folder, const Options& variables, std::uint64_t file_bytes) {
   auto pid = fork();
   if (pid != 0) return pid;
   prctl(PR_SET_PDEATHSIG, SIGKILL);  // no relay outlives the trial
@@ -247,91 +247,92 @@
   _exit(127);
 }
 
-void Rig::start_at_once(const std::string& id, const Words& words) {
+void Harness::start_without_waiting(const std::string& id, const Options& words) {
   Relay& relay = relays_.at(id);
   if (relay.pid > 0) return;
   write_files(relay);
-  Words variables{{"BALANCER_CONFIG", folder(id) + "/config.json"},
-                  {"BALANCER_STATE", folder(id) + "/state"}};
+  Options variables{{"BALANCER_CONFIG", folder(id) + "/config.json"},
+                    {"BALANCER_STATE", folder(id) + "/state"}};
   if (setup_.fleet) variables["BALANCER_FLEET"] = folder(id) + "/fleet.toml";
   ++relay.life;
   variables.merge(draw_process_faults(setup_.fault_library, setup_.seed, id, relay.life));
-  relay.stopped = relay.asked_to_end = false;
-  note("start", {{"r", id}, {"life", std::to_string(relay.life)}});
+  relay.suspended = relay.asked_to_stop = false;
+  record("start", {{"r", id}, {"life", std::to_string(relay.life)}});
   relay.pid = spawn(folder(id), variables, static_cast<std::uint64_t>(number(words, "file_bytes", 0)));
-  for (auto& [name, endpoint] : endpoints_) note("told", {{"r", id}, {"e", name}, {"state", endpoint.state}});
+  for (auto& [name, endpoint] : endpoints_)
+    record("told", {{"r", id}, {"e", name}, {"state", endpoint.state}});
 }
 
-bool Rig::answers(const std::string& id) {
+bool Harness::answers_ping(const std::string& id) {
   auto heard = std::make_shared<std::string>();
   auto over = std::make_shared<bool>(false);
-  Sock* sock = ring_.connect({host_, relays_.at(id).clients});
+  Socket* sock = event_loop_.connect({host_, relays_.at(id).clients});
   auto number = sock->id;
-  sock->on_end = [over] { *over = true; };
+  sock->on_closed = [over] { *over = true; };
   sock->on_data = [this, heard, number] {
-    if (Sock* here = ring_.find(number)) *heard += here->in, here->in.clear();
+    if (Socket* here = event_loop_.find(number)) *heard += here->in, here->in.clear();
   };
-  ring_.send(*sock, "*1\r\n$4\r\nPING\r\n");
-  until(500, [&] { return *over || !heard->empty(); });
-  if (Sock* here = ring_.find(number)) ring_.close(*here);
+  event_loop_.send(*sock, "*1\r\n$4\r\nPING\r\n");
+  run_until(500, [&] { return *over || !heard->empty(); });
+  if (Socket* here = event_loop_.find(number)) event_loop_.close(*here);
   return *heard == "+PONG\r\n";
 }
 
-bool Rig::start(const std::string& id, const Words& words) {
-  start_at_once(id, words);
-  auto end = now() + up_within;
-  while (now() < end && runs(id)) {
-    if (answers(id)) return note("up", {{"r", id}}), true;
-    until(20, [] { return false; });
+bool Harness::start(const std::string& id, const Options& words) {
+  start_without_waiting(id, words);
+  auto end = now() + start_timeout;
+  while (now() < end && is_running(id)) {
+    if (answers_ping(id)) return record("up", {{"r", id}}), true;
+    run_until(20, [] { return false; });
   }
   return false;
 }
 
-void Rig::kill(const std::string& id) {
+void Harness::kill(const std::string& id) {
   Relay& relay = relays_.at(id);
   if (relay.pid <= 0) return;
   ::kill(relay.pid, SIGKILL);
   waitpid(std::exchange(relay.pid, -1), nullptr, 0);
-  relay.stopped = false;
-  note("kill", {{"r", id}});
+  relay.suspended = false;
+  record("kill", {{"r", id}});
 }
-void Rig::stop(const std::string& id) {
+void Harness::suspend(const std::string& id) {
   Relay& relay = relays_.at(id);
-  if (relay.pid <= 0 || std::exchange(relay.stopped, true)) return;
+  if (relay.pid <= 0 || std::exchange(relay.suspended, true)) return;
   ::kill(relay.pid, SIGSTOP);
-  note("stop", {{"r", id}});
+  record("stop", {{"r", id}});
 }
-void Rig::go_on(const std::string& id) {
+void Harness::resume(const std::string& id) {
   Relay& relay = relays_.at(id);
-  if (relay.pid <= 0 || !std::exchange(relay.stopped, false)) return;
-  note("cont", {{"r", id}});
+  if (relay.pid <= 0 || !std::exchange(relay.suspended, false)) return;
+  record("cont", {{"r", id}});
   ::kill(relay.pid, SIGCONT);
 }
-void Rig::term(const std::string& id) {
+void Harness::terminate(const std::string& id) {
   Relay& relay = relays_.at(id);
   if (relay.pid <= 0) return;
-  relay.asked_to_end = true;
-  note("term", {{"r", id}});
+  relay.asked_to_stop = true;
+  record("term", {{"r", id}});
   ::kill(relay.pid, SIGTERM);
 }
 
-void Rig::reap() {
+void Harness::reap() {
   for (auto& [id, relay] : relays_) {
     int status = 0;
     if (relay.pid <= 0 || waitpid(relay.pid, &status, WNOHANG) != relay.pid) continue;
-    relay.pid = -1, relay.stopped = false;
-    note("exit", {{"r", id},
-                  {"asked", relay.asked_to_end ? "1" : "0"},
-                  {"code", std::to_string(WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status))}});
+    relay.pid = -1, relay.suspended = false;
+    record("exit", {{"r", id},
+                    {"asked", relay.asked_to_stop ? "1" : "0"},
+                    {"code", std::to_string(WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status))}});
   }
 }
 
-void Rig::empty_folder(const std::string& id) {
+void Harness::empty_folder(const std::string& id) {
   fs::remove_all(folder(id) + "/state");
   fs::create_directories(folder(id) + "/state");
-  note("folder", {{"r", id}, {"state", "emptied"}});
+  record("folder", {{"r", id}, {"state", "emptied"}});
 }
-void Rig::save_folder(const std::string& id) {
+void Harness::save_folder(const std::string& id) {
   std::error_code ignored;  // files come and go under a process that runs
   fs::remove_all(folder(id) + "/image", ignored);
   fs::create_directories(folder(id) + "/image");
@@ -340,18 +341,18 @@
     if (entry.is_directory()) fs::create_directories(to, ignored);
     else if (entry.is_regular_file()) fs::copy_file(entry.path(), to, ignored);
   }
-  note("saved", {{"r", id}});
+  record("saved", {{"r", id}});
 }
-void Rig::restore_folder(const std::string& id) {
+void Harness::restore_folder(const std::string& id) {
   fs::remove_all(folder(id) + "/state");
   if (fs::exists(folder(id) + "/image"))
     fs::copy(folder(id) + "/image", folder(id) + "/state", fs::copy_options::recursive);
   else fs::create_directories(folder(id) + "/state");
-  note("folder", {{"r", id}, {"state", "older"}});
+  record("folder", {{"r", id}, {"state", "older"}});
 }
 
 // No file of the folder may grow any more, or may again.
-void Rig::fill_disk(const std::string& id, bool full) {
+void Harness::set_disk_full(const std::string& id, bool full) {
   Relay& relay = relays_.at(id);
   if (relay.pid <= 0) return;
   std::uintmax_t largest = 1;
@@ -360,10 +361,10 @@
     if (entry.is_regular_file(ignored)) largest = std::max(largest, fs::file_size(entry.path(), ignored));
   rlimit limit{full ? static_cast<rlim_t>(largest) : RLIM_INFINITY, RLIM_INFINITY};
   prlimit(relay.pid, RLIMIT_FSIZE, &limit, nullptr);
-  note(full ? "full" : "roomy", {{"r", id}});
+  record(full ? "full" : "roomy", {{"r", id}});
 }
 
-void Rig::spoil(const std::string& id, const std::string& how) {
+void Harness::damage_files(const std::string& id, const std::string& how) {
   std::string foreign(1000, 'z');
   for (const auto& entry : fs::recursive_directory_iterator(folder(id) + "/state")) {
     auto name = entry.path().filename().string();
@@ -376,53 +377,53 @@
       file.seekp(static_cast<std::streamoff>(size / 2))
           << std::string(std::min<std::size_t>(size / 3, 64), '#');
     }
-    note("spoilt", {{"r", id}, {"file", name}, {"how", how}});
+    record("spoilt", {{"r", id}, {"file", name}, {"how", how}});
   }
-  note("folder", {{"r", id}, {"state", "spoilt"}});
+  record("folder", {{"r", id}, {"state", "spoilt"}});
 }
 
-bool Rig::linked(Millis from) const {
-  for (const auto& [dialled, port] : proxies_) {
+bool Harness::all_linked_since(Millis from) const {
+  for (const auto& [dialled, port] : proxy_ports_) {
     if (relays_.at(dialled.first).pid <= 0 || relays_.at(dialled.second).pid <= 0) continue;
     for (bool back : {false, true}) {
-      auto passed = passed_.find({dialled, back});
-      if (passed == passed_.end() || passed->second < from) return false;
+      auto passed = last_passed_.find({dialled, back});
+      if (passed == last_passed_.end() || passed->second < from) return false;
     }
   }
   return true;
 }
 
-void Rig::twin(const std::string& id, bool begin) {
+void Harness::run_duplicate(const std::string& id, bool starts) {
   auto other = id + "b";
-  if (!begin) return kill(other);
+  if (!starts) return kill(other);
   if (!relays_.count(other)) {
     Relay& relay = relays_[other];
-    relay.name = id, relay.hall = relays_.at(id).hall;
+    relay.name = id, relay.zone = relays_.at(id).zone;
     relay.clients = next_port(), relay.admin = next_port(), relay.agent = next_port();
     relay.members = next_port();
-    Sock* agent = ring_.listen({host_, relay.agent});
-    agent->on_taken = [this, other](Sock& sock) { agent_taken(other, sock); };
-    note("relay", {{"r", other}, {"twin", id}});
+    Socket* agent = event_loop_.listen({host_, relay.agent});
+    agent->on_accepted = [this, other](Socket& sock) { accept_agent(other, sock); };
+    record("relay", {{"r", other}, {"twin", id}});
     for (auto& [name, endpoint] : endpoints_)
       if (!endpoint.listeners.empty()) open_endpoint(endpoint);
   }
   fs::remove_all(folder(other));
   fs::create_directories(folder(other));
   fs::copy(folder(id) + "/image", folder(other) + "/state", fs::copy_options::recursive);
-  note("folder", {{"r", other}, {"state", "older"}});
+  record("folder", {{"r", other}, {"state", "older"}});
   start(other, {});
 }
 
-void Rig::stranger(bool begin) {
-  if (!begin) return kill("x1");
+void Harness::run_foreign_relay(bool starts) {
+  if (!starts) return kill("x1");
   if (!relays_.count("x1")) {
     Relay& relay = relays_["x1"];
-    relay.name = "n1", relay.hall = "h0";
+    relay.name = "n1", relay.zone = "h0";
     relay.clients = next_port(), relay.admin = next_port(), relay.agent = next_port();
     relay.members = next_port();
-    Sock* agent = ring_.listen({host_, relay.agent});
-    agent->on_taken = [this](Sock& sock) { agent_taken("x1", sock); };
-    note("relay", {{"r", "x1"}, {"twin", "n1"}});
+    Socket* agent = event_loop_.listen({host_, relay.agent});
+    agent->on_accepted = [this](Socket& sock) { accept_agent("x1", sock); };
+    record("relay", {{"r", "x1"}, {"twin", "n1"}});
     fs::create_directories(folder("x1") + "/state");
   }
   start("x1", {});
@@ -430,18 +431,20 @@
 
 // ---- the platform's agent
 
-void Rig::agent_taken(const std::string& id, Sock& sock) {
-  sock.on_data = [this, id, number = sock.id] { agent_asked(id, number); };
-  sock.on_end = [this, id, number = sock.id] { watching_[id].erase(number), watch_from_.erase(number); };
+void Harness::accept_agent(const std::string& id, Socket& sock) {
+  sock.on_data = [this, id, number = sock.id] { handle_agent_request(id, number); };
+  sock.on_closed = [this, id, number = sock.id] {
+    polling_agents_[id].erase(number), poll_versions_.erase(number);
+  };
 }
 
-nlohmann::json Rig::list_for(const std::string& id) {
+nlohmann::json Harness::list_for(const std::string& id) {
   Json list{{"rev", revision_}, {"all", true}, {"targets", Json::array()}};
   for (const auto& [name, endpoint] : endpoints_)
     if (endpoint.ports.count(id))
       list["targets"].push_back({{"uid", name},
-                                 {"endpoint", Place{host_, endpoint.ports.at(id)}.text()},
-                                 {"az", endpoint.hall},
+                                 {"endpoint", Address{host_, endpoint.ports.at(id)}.text()},
+                                 {"az", endpoint.zone},
                                  {"model", endpoint.kind == 0 ? "m0" : "m1"},
                                  {"pod_group", endpoint.dest},
                                  {"state", endpoint.state},
@@ -450,19 +453,20 @@
   return list;
 }
 
-void Rig::tell_list(Relay& relay, std::uint64_t number) {
+void Harness::send_list(Relay& relay, std::uint64_t number) {
   auto id =
       std::find_if(relays_.begin(), relays_.end(), [&](auto& at) { return &at.second == &relay; })->first;
-  watching_[id].erase(number);
-  Sock* sock = ring_.find(number);
+  polling_agents_[id].erase(number);
+  Socket* sock = event_loop_.find(number);
   if (!sock) return;
-  ring_.send(*sock, http("200 OK", "", list_for(id).dump()));
-  for (auto& [name, endpoint] : endpoints_) note("told", {{"r", id}, {"e", name}, {"state", endpoint.state}});
+  event_loop_.send(*sock, http("200 OK", "", list_for(id).dump()));
+  for (auto& [name, endpoint] : endpoints_)
+    record("told", {{"r", id}, {"e", name}, {"state", endpoint.state}});
 }
 
-void Rig::agent_asked(const std::string& id, std::uint64_t number) {
+void Harness::handle_agent_request(const std::string& id, std::uint64_t number) {
   std::string head, body;
-  while (Sock* sock = ring_.find(number)) {
+  while (Socket* sock = event_loop_.find(number)) {
     if (!take_request(sock->in, head, body)) return;
     if (head.rfind("POST /reports ", 0) == 0) {
       std::istringstream lines(body);
@@ -470,103 +474,103 @@
         auto notice = Json::parse(line, nullptr, false);
         if (!notice.is_object()) continue;
         auto doc = notice.value("id", "");
-        note("notice", {{"r", id}, {"id", doc}, {"status", notice.value("status", "")}});
-        if (auto found = docs_.find(doc); found != docs_.end()) found->second.ended = true;
+        record("notice", {{"r", id}, {"id", doc}, {"status", notice.value("status", "")}});
+        if (auto found = documents_.find(doc); found != documents_.end()) found->second.ended = true;
       }
-      ring_.send(*sock, http("204 No Content", "", ""));
+      event_loop_.send(*sock, http("204 No Content", "", ""));
     } else if (head.rfind("GET /v1/servers?after=", 0) == 0) {
       auto version = std::stoll(head.substr(22));
       if (version < revision_) {
-        tell_list(relays_.at(id), number);
+        send_list(relays_.at(id), number);
         continue;
       }
-      watching_[id].insert(number);
+      polling_agents_[id].insert(number);
       auto wait = std::stod(head.substr(head.find("wait_ms=") + 8));
-      ring_.at(now() + wait, [this, id, number] {
-        if (watching_[id].count(number)) tell_list(relays_.at(id), number);
+      event_loop_.schedule(now() + wait, [this, id, number] {
+        if (polling_agents_[id].count(number)) send_list(relays_.at(id), number);
       });
     } else {
-      tell_list(relays_.at(id), number);
+      send_list(relays_.at(id), number);
     }
   }
 }
 
 // ---- endpoints
 
-void Rig::open_endpoint(Endpoint& endpoint) {
+void Harness::open_endpoint(Endpoint& endpoint) {
   for (auto& [id, relay] : relays_) {
     if (id[0] == 'x' || endpoint.listeners.count(id)) continue;
     if (!endpoint.ports.count(id)) endpoint.ports[id] = next_port();
-    Sock* listener = ring_.listen({host_, endpoint.ports[id]});
+    Socket* listener = event_loop_.listen({host_, endpoint.ports[id]});
     endpoint.listeners[id] = listener->id;
-    listener->on_taken = [this, name = endpoint.name, id = id](Sock& sock) {
+    listener->on_accepted = [this, name = endpoint.name, id = id](Socket& sock) {
       connections_[name].insert(sock.id);
-      note("conn", {{"e", name},
-                    {"dest", std::to_string(endpoints_.at(name).dest)},
-                    {"r", id},
-                    {"conn", std::to_string(sock.id)}});
-      sock.on_data = [this, name, id, number = sock.id] { called(name, id, number); };
-      sock.on_end = [this, name, number = sock.id] { connections_[name].erase(number); };
+      record("conn", {{"e", name},
+                      {"dest", std::to_string(endpoints_.at(name).dest)},
+                      {"r", id},
+                      {"conn", std::to_string(sock.id)}});
+      sock.on_data = [this, name, id, number = sock.id] { handle_call_data(name, id, number); };
+      sock.on_closed = [this, name, number = sock.id] { connections_[name].erase(number); };
     };
   }
 }
-void Rig::shut_endpoint(Endpoint& endpoint) {
+void Harness::close_endpoint(Endpoint& endpoint) {
   for (auto& [id, number] : std::exchange(endpoint.listeners, {}))
-    if (Sock* sock = ring_.find(number)) ring_.close(*sock);
+    if (Socket* sock = event_loop_.find(number)) event_loop_.close(*sock);
   for (auto number : std::exchange(connections_[endpoint.name], {}))
-    if (Sock* sock = ring_.find(number)) ring_.close(*sock, true);
+    if (Socket* sock = event_loop_.find(number)) event_loop_.close(*sock, true);
 }
 
-void Rig::endpoint(const std::string& name, const Words& how) {
+void Harness::set_endpoint(const std::string& name, const Options& how) {
   bool fresh = !endpoints_.count(name);
   Endpoint& endpoint = endpoints_[name];
   if (fresh) {
-    endpoint.name = name, endpoint.hall = word(how, "hall", "h0");
+    endpoint.name = name, endpoint.zone = option(how, "hall", "h0");
     endpoint.dest = static_cast<int>(number(how, "for", 1)), endpoint.rate = number(how, "rate", 200);
-    endpoint.kind = word(how, "kind", "m0") == "m1";
-    note("endpoint", {{"e", name},
-                      {"dest", std::to_string(endpoint.dest)},
-                      {"hall", endpoint.hall},
-                      {"rate", word(how, "rate", "200")}});
+    endpoint.kind = option(how, "kind", "m0") == "m1";
+    record("endpoint", {{"e", name},
+                        {"dest", std::to_string(endpoint.dest)},
+                        {"hall", endpoint.zone},
+                        {"rate", option(how, "rate", "200")}});
     ++revision_;
   }
   endpoint.how = how;
-  auto manner = endpoint.how["manner"] = word(how, "manner", "200");
+  auto behaviour = endpoint.how["manner"] = option(how, "manner", "200");
   endpoint.times = static_cast<int>(number(how, "times", -1));
-  bool failing =
-      manner == "down" || manner == "silent" || manner == "reset" || manner == "500" || manner == "shut";
-  if (manner == "down") {
-    shut_endpoint(endpoint);
-    if (fresh) open_endpoint(endpoint), shut_endpoint(endpoint);  // it has ports all the same
+  bool failing = behaviour == "down" || behaviour == "silent" || behaviour == "reset" || behaviour == "500" ||
+                 behaviour == "shut";
+  if (behaviour == "down") {
+    close_endpoint(endpoint);
+    if (fresh) open_endpoint(endpoint), close_endpoint(endpoint);  // it has ports all the same
   } else {
     open_endpoint(endpoint);
   }
-  if (failing != endpoint.failing) note(failing ? "fails" : "works", {{"e", name}, {"how", manner}});
-  else if (!fresh) note("manner", {{"e", name}, {"how", manner}});
+  if (failing != endpoint.failing) record(failing ? "fails" : "works", {{"e", name}, {"how", behaviour}});
+  else if (!fresh) record("manner", {{"e", name}, {"how", behaviour}});
   endpoint.failing = failing;
-  if (fresh) list(name, word(how, "state", "Ready"));
+  if (fresh) set_listed_state(name, option(how, "state", "Ready"));
 }
 
-void Rig::list(const std::string& name, const std::string& state) {
+void Harness::set_listed_state(const std::string& name, const std::string& state) {
   endpoints_.at(name).state = state;
   ++revision_;
-  note("list", {{"e", name}, {"state", state}});
+  record("list", {{"e", name}, {"state", state}});
   for (auto& [id, relay] : relays_)
-    for (auto number : std::set<std::uint64_t>(watching_[id])) tell_list(relay, number);
+    for (auto number : std::set<std::uint64_t>(polling_agents_[id])) send_list(relay, number);
 }
 
-void Rig::called(const std::string& name, const std::string& id, std::uint64_t number) {
+void Harness::handle_call_data(const std::string& name, const std::string& id, std::uint64_t number) {
   std::string head, body;
-  while (Sock* sock = ring_.find(number)) {
-    auto began = sock->first_at;
+  while (Socket* sock = event_loop_.find(number)) {
+    auto began = sock->first_byte_at;
     if (!take_request(sock->in, head, body)) return;
-    sock->first_at = ring_.now();
-    take_call(endpoints_.at(name), id, *sock, head, body, began);
+    sock->first_byte_at = event_loop_.now();
+    handle_call(endpoints_.at(name), id, *sock, head, body, began);
   }
 }
 
-void Rig::take_call(Endpoint& endpoint, const std::string& relay, Sock& sock, const std::string& head,
-                    const std::string& body, Millis began) {
+void Harness::handle_call(Endpoint& endpoint, const std::string& relay, Socket& sock, const std::string& head,
+                          const std::string& body, Millis began) {
   struct Item {
     std::string id, mark, body;
   };
@@ -582,158 +586,159 @@
   char time[32];
   std::snprintf(time, sizeof time, "%.3f", began);
   for (const auto& item : items)
-    note("call", {{"e", endpoint.name},
-                  {"dest", std::to_string(endpoint.dest)},
-                  {"r", relay},
-                  {"conn", std::to_string(sock.id)},
-                  {"began", time},
-                  {"id", item.id},
-                  {"mark", item.mark},
-                  {"key", told_in(item.body, "key")},
-                  {"v", told_in(item.body, "v")},
-                  {"items", std::to_string(items.size())}});
+    record("call", {{"e", endpoint.name},
+                    {"dest", std::to_string(endpoint.dest)},
+                    {"r", relay},
+                    {"conn", std::to_string(sock.id)},
+                    {"began", time},
+                    {"id", item.id},
+                    {"mark", item.mark},
+                    {"key", body_field(item.body, "key")},
+                    {"v", body_field(item.body, "v")},
+                    {"items", std::to_string(items.size())}});
   auto how = endpoint.how;
-  if (endpoint.times == 0) how = {{"manner", "200"}, {"after", word(how, "after", "0")}};
+  if (endpoint.times == 0) how = {{"manner", "200"}, {"after", option(how, "after", "0")}};
   if (endpoint.times > 0) --endpoint.times;
-  const auto manner = how["manner"];
-  if (manner == "silent") return;
-  auto number_of = sock.id;
-  if (manner == "reset") {
-    for (const auto& item : items) note("broke", {{"e", endpoint.name}, {"r", relay}, {"id", item.id}});
-    connections_[endpoint.name].erase(number_of);
-    return ring_.close(sock, true);
+  const auto behaviour = how["manner"];
+  if (behaviour == "silent") return;
+  auto socket_id = sock.id;
+  if (behaviour == "reset") {
+    for (const auto& item : items) record("broke", {{"e", endpoint.name}, {"r", relay}, {"id", item.id}});
+    connections_[endpoint.name].erase(socket_id);
+    return event_loop_.close(sock, true);
   }
-  std::string said, headers;
-  if (batch && manner == "200") {
+  std::string answer_body, headers;
+  if (batch && behaviour == "200") {
     auto states = Json::array();
     for (const auto& item : items) states.push_back({{"id", item.id}, {"state", "ok"}});
-    said = states.dump();
+    answer_body = states.dump();
   }
   if (how.count("wait")) headers = "Retry-After: " + how["wait"] + "\r\n";
-  const auto status = manner == "shut" ? std::string("503") : manner;
-  auto answer = http(status + " Said", headers, said);
+  const auto status = behaviour == "shut" ? std::string("503") : behaviour;
+  auto answer = http(status + " Said", headers, answer_body);
   auto name = endpoint.name;
   auto wait = how.count("wait") ? std::stod(how["wait"]) * 1000 : 0;
-  ring_.at(now() + number(how, "after", 0), [=, this] {
-    Sock* here = ring_.find(number_of);
+  event_loop_.schedule(now() + number(how, "after", 0), [=, this] {
+    Socket* here = event_loop_.find(socket_id);
     for (const auto& item : items) {
       if (!here) {
-        note("broke", {{"e", name}, {"r", relay}, {"id", item.id}});  // the caller has hung up
+        record("broke", {{"e", name}, {"r", relay}, {"id", item.id}});  // the caller has hung up
         continue;
       }
       std::vector<std::pair<std::string, std::string>> fields{
           {"e", name},     {"dest", std::to_string(endpoints_.at(name).dest)},
-          {"r", relay},    {"conn", std::to_string(number_of)},
+          {"r", relay},    {"conn", std::to_string(socket_id)},
           {"id", item.id}, {"status", status}};
       if (wait > 0) fields.emplace_back("wait", std::to_string(static_cast<long>(wait)));
-      note("answer", std::move(fields));
-      if (auto found = docs_.find(item.id); found != docs_.end() && (manner == "200" || manner == "410"))
+      record("answer", std::move(fields));
+      if (auto found = documents_.find(item.id);
+          found != documents_.end() && (behaviour == "200" || behaviour == "410"))
         found->second.ended = true;
     }
-    if (here) ring_.send(*here, answer);
+    if (here) event_loop_.send(*here, answer);
   });
 }
 
 // ---- links
 
-void Rig::proxy(const std::string& from, const std::string& to) {
-  int port = proxies_[{from, to}] = next_port();
-  ring_.listen({host_, port})->on_taken = [this, from, to](Sock& near) {
-    Sock* far = ring_.connect({host_, relays_.at(to).members});
+void Harness::open_proxy(const std::string& from, const std::string& to) {
+  int port = proxy_ports_[{from, to}] = next_port();
+  event_loop_.listen({host_, port})->on_accepted = [this, from, to](Socket& near) {
+    Socket* far = event_loop_.connect({host_, relays_.at(to).members});
     auto near_id = near.id, far_id = far->id;
-    near.on_data = [=, this] { pump({from, to}, false, near_id, far_id); };
-    far->on_data = [=, this] { pump({from, to}, true, far_id, near_id); };
+    near.on_data = [=, this] { forward({from, to}, false, near_id, far_id); };
+    far->on_data = [=, this] { forward({from, to}, true, far_id, near_id); };
     auto end = [this](std::uint64_t other) {
-      if (Sock* sock = ring_.find(other)) ring_.close(*sock);
+      if (Socket* sock = event_loop_.find(other)) event_loop_.close(*sock);
     };
-    near.on_end = [=] { end(far_id); };
-    far->on_end = [=] { end(near_id); };
-    sides_[{from, to}].push_back({{from, to}, false, near_id, far_id});
-    sides_[{to, from}].push_back({{from, to}, true, far_id, near_id});
+    near.on_closed = [=] { end(far_id); };
+    far->on_closed = [=] { end(near_id); };
+    proxied_[{from, to}].push_back({{from, to}, false, near_id, far_id});
+    proxied_[{to, from}].push_back({{from, to}, true, far_id, near_id});
   };
 }
 
-void Rig::pump(const Pair& dialled, bool back, std::uint64_t in_id, std::uint64_t out_id) {
+void Harness::forward(const Pair& dialled, bool back, std::uint64_t in_id, std::uint64_t out_id) {
   auto direction = back ? Pair{dialled.second, dialled.first} : dialled;
-  Sock *in = ring_.find(in_id), *out = ring_.find(out_id);
+  Socket *in = event_loop_.find(in_id), *out = event_loop_.find(out_id);
   if (!in || !out) return;
-  auto way = ways_.find(direction);
-  if (way != ways_.end() && way->second.way == Way::hold) return void(in->paused = true);
+  auto way = link_states_.find(direction);
+  if (way != link_states_.end() && way->second.state == LinkState::cut) return void(in->paused = true);
   if (in->in.empty()) return;
   auto bytes = std::exchange(in->in, {});
-  passed_[{dialled, back}] = now();
-  if (corrupts_.erase(direction))
+  last_passed_[{dialled, back}] = now();
+  if (corrupted_next_.erase(direction))
     for (std::size_t i = bytes.size() / 2; i < bytes.size(); ++i) bytes[i] = static_cast<char>(~bytes[i]);
-  if (tears_.erase(direction)) {
-    ring_.send(*out, std::string_view(bytes).substr(0, bytes.size() / 2));
-    out->ends_when_sent = true;
-    ring_.close(*in, true);
-    if (out->out.empty()) ring_.close(*out);
+  if (truncated_next_.erase(direction)) {
+    event_loop_.send(*out, std::string_view(bytes).substr(0, bytes.size() / 2));
+    out->closes_when_sent = true;
+    event_loop_.close(*in, true);
+    if (out->out.empty()) event_loop_.close(*out);
     return;
   }
-  if (way == ways_.end() || way->second.way != Way::slow) return ring_.send(*out, bytes);
-  ring_.at(now() + way->second.delay, [this, out_id, bytes] {
-    if (Sock* there = ring_.find(out_id)) ring_.send(*there, bytes);
+  if (way == link_states_.end() || way->second.state != LinkState::slow) return event_loop_.send(*out, bytes);
+  event_loop_.schedule(now() + way->second.delay, [this, out_id, bytes] {
+    if (Socket* there = event_loop_.find(out_id)) event_loop_.send(*there, bytes);
   });
 }
 
-void Rig::way(const std::string& from, const std::string& to, Way way, Millis delay) {
+void Harness::set_link(const std::string& from, const std::string& to, LinkState state, Millis delay) {
   Pair direction{from, to};
-  note("link", {{"i", from},
-                {"j", to},
-                {"way", way == Way::open   ? "open"
-                        : way == Way::hold ? "cut"
-                                           : "slow"}});
-  if (way == Way::open) ways_.erase(direction);
-  else ways_[direction] = {way, delay};
-  auto sides = sides_[direction];
+  record("link", {{"i", from},
+                  {"j", to},
+                  {"way", state == LinkState::open  ? "open"
+                          : state == LinkState::cut ? "cut"
+                                                    : "slow"}});
+  if (state == LinkState::open) link_states_.erase(direction);
+  else link_states_[direction] = {state, delay};
+  auto sides = proxied_[direction];
   for (const auto& side : sides)
-    if (Sock* in = ring_.find(side.in)) {
-      in->paused = way == Way::hold;
-      if (way != Way::hold) pump(side.dialled, side.back, side.in, side.out);
+    if (Socket* in = event_loop_.find(side.in)) {
+      in->paused = state == LinkState::cut;
+      if (state != LinkState::cut) forward(side.dialled, side.back, side.in, side.out);
     }
 }
 
-void Rig::heal() {
-  for (const auto& [direction, way] : std::map<Pair, Direction>(ways_))
-    this->way(direction.first, direction.second, Way::open);
+void Harness::heal_links() {
+  for (const auto& [direction, way] : std::map<Pair, LinkSetting>(link_states_))
+    this->set_link(direction.first, direction.second, LinkState::open);
 }
 
-void Rig::reset(const std::string& from, const std::string& to) {
-  note("reset", {{"i", from}, {"j", to}});
-  for (const auto& side : std::exchange(sides_[{from, to}], {}))
+void Harness::reset_connections(const std::string& from, const std::string& to) {
+  record("reset", {{"i", from}, {"j", to}});
+  for (const auto& side : std::exchange(proxied_[{from, to}], {}))
     for (auto id : {side.in, side.out})
-      if (Sock* sock = ring_.find(id)) ring_.close(*sock, true);
+      if (Socket* sock = event_loop_.find(id)) event_loop_.close(*sock, true);
 }
-void Rig::tear(const std::string& from, const std::string& to) {
-  note("tear", {{"i", from}, {"j", to}});
-  tears_.insert({from, to});
+void Harness::truncate_next(const std::string& from, const std::string& to) {
+  record("tear", {{"i", from}, {"j", to}});
+  truncated_next_.insert({from, to});
 }
-void Rig::corrupt(const std::string& from, const std::string& to) {
-  note("corrupt", {{"i", from}, {"j", to}});
-  corrupts_.insert({from, to});
+void Harness::corrupt_next(const std::string& from, const std::string& to) {
+  record("corrupt", {{"i", from}, {"j", to}});
+  corrupted_next_.insert({from, to});
 }
 
-void Rig::flood(const std::string& to, const std::string& what) {
-  note("flood", {{"r", to}, {"what", what}});
+void Harness::flood(const std::string& to, const std::string& what) {
+  record("flood", {{"r", to}, {"what", what}});
   std::string bytes;
   if (what == "junk")
     for (unsigned i = 0; i < 200000; ++i) bytes += static_cast<char>((i + 77) * 2654435761u >> 13);
   else if (what == "large") bytes = std::string(8, '\xff') + std::string(1 << 20, 'x');
   else bytes = std::string(3, '\0');  // half of a length, and then nothing
   for (int i = 0; i < (what == "half" ? 40 : 3); ++i) {
-    Sock* sock = ring_.connect({host_, relays_.at(to).members});
-    sock->on_up = [this, id = sock->id, bytes] {
-      if (Sock* here = ring_.find(id)) ring_.send(*here, bytes);
+    Socket* sock = event_loop_.connect({host_, relays_.at(to).members});
+    sock->on_connected = [this, id = sock->id, bytes] {
+      if (Socket* here = event_loop_.find(id)) event_loop_.send(*here, bytes);
     };
   }
 }
 
 // ---- clients and staff
 
-void Rig::client_heard(const std::string& relay, const std::string& name) {
+void Harness::handle_client_data(const std::string& relay, const std::string& name) {
   Client& client = clients_[relay][name];
-  Sock* sock = ring_.find(client.sock);
+  Socket* sock = event_loop_.find(client.socket_id);
   if (!sock) return;
   for (auto end = sock->in.find("\r\n"); end != std::string::npos; end = sock->in.find("\r\n")) {
     auto line = sock->in.substr(0, end);
@@ -742,100 +747,102 @@
     auto id = client.asked.front();
     client.asked.pop_front();
     auto what = line == "+OK" ? "OK" : line.rfind("-BUSY", 0) == 0 ? "BUSY" : "ERR";
-    note("said", {{"r", relay}, {"id", id}, {"what", what}});
-    Doc& doc = docs_[id];
-    doc.taken = line == "+OK", doc.open = false;
+    record("said", {{"r", relay}, {"id", id}, {"what", what}});
+    Document& doc = documents_[id];
+    doc.accepted = line == "+OK", doc.awaiting_answer = false;
   }
 }
 
-void Rig::hand(const std::string& relay, const std::string& id, const Words& words) {
-  auto name = word(words, "c", "c");
-  auto type = word(words, "type", "plain"), key = word(words, "key", "0"), v = word(words, "v", "0");
-  auto left = word(words, "left", "8000"), dest = word(words, "for", "1");
-  auto mark = word(words, "mark", type == "numbered" ? "m-" + id : "");
+void Harness::submit(const std::string& relay, const std::string& id, const Options& words) {
+  auto name = option(words, "c", "c");
+  auto type = option(words, "type", "plain"), key = option(words, "key", "0"), v = option(words, "v", "0");
+  auto left = option(words, "left", "8000"), dest = option(words, "for", "1");
+  auto mark = option(words, "mark", type == "numbered" ? "m-" + id : "");
   auto body = words.count("empty") ? std::string()
                                    : "key=" + key + " v=" + v + " " +
                                          std::string(static_cast<std::size_t>(number(words, "fill", 0)), 'x');
   auto order = std::string(key.size() < 16 ? 16 - key.size() : 0, '0') + key;
   auto list = "c=" + type + ",d=" + left + ",dest=" + dest + (mark.empty() ? "" : ",k=" + mark);
   Client& client = clients_[relay][name];
-  Sock* sock = ring_.find(client.sock);
+  Socket* sock = event_loop_.find(client.socket_id);
   if (!sock) {
-    sock = ring_.connect({host_, relays_.at(relay).clients});
-    client.sock = sock->id;
-    sock->on_data = [this, relay, name] { client_heard(relay, name); };
-    sock->on_end = [this, relay, name] {
+    sock = event_loop_.connect({host_, relays_.at(relay).clients});
+    client.socket_id = sock->id;
+    sock->on_data = [this, relay, name] { handle_client_data(relay, name); };
+    sock->on_closed = [this, relay, name] {
       for (const auto& asked : std::exchange(clients_[relay][name].asked, {})) {
-        note("unsaid", {{"r", relay}, {"id", asked}});
-        docs_[asked].open = false;
+        record("unsaid", {{"r", relay}, {"id", asked}});
+        documents_[asked].awaiting_answer = false;
       }
     };
   }
-  docs_[id] = {relay};
+  documents_[id] = {relay};
   client.asked.push_back(id);
-  note("hand", {{"r", relay},
-                {"id", id},
-                {"type", type},
-                {"dest", dest},
-                {"key", key},
-                {"v", v},
-                {"left", left},
-                {"mark", mark},
-                {"c", name},
-                {"empty", words.count("empty") ? "1" : "0"}});
-  ring_.send(*sock, command({"ENQUEUE", order, id, list, body}));
-}
-
-void Rig::load(const std::string& relay, const std::string& id, const Words& words, int times, Millis every) {
+  record("hand", {{"r", relay},
+                  {"id", id},
+                  {"type", type},
+                  {"dest", dest},
+                  {"key", key},
+                  {"v", v},
+                  {"left", left},
+                  {"mark", mark},
+                  {"c", name},
+                  {"empty", words.count("empty") ? "1" : "0"}});
+  event_loop_.send(*sock, command({"ENQUEUE", order, id, list, body}));
+}
+
+void Harness::schedule_load(const std::string& relay, const std::string& id, const Options& words, int times,
+                            Millis every) {
   for (int i = 0; i < times; ++i)
-    ring_.at(now() + i * every, [=, this] {
-      if (runs(relay) && !stopped(relay)) hand(relay, id + std::to_string(i), words);
+    event_loop_.schedule(now() + i * every, [=, this] {
+      if (is_running(relay) && !is_suspended(relay)) submit(relay, id + std::to_string(i), words);
     });
 }
 
-void Rig::staff(const std::string& relay, const std::string& endpoint, bool out) {
-  Sock* sock = ring_.connect({host_, relays_.at(relay).admin});
+void Harness::set_offline(const std::string& relay, const std::string& endpoint, bool offline) {
+  Socket* sock = event_loop_.connect({host_, relays_.at(relay).admin});
   auto id = sock->id;
-  sock->on_data = [this, id, relay, endpoint, out] {
-    Sock* here = ring_.find(id);
-    if (here && here->in.rfind("done", 0) == 0) note(out ? "out" : "in", {{"r", relay}, {"e", endpoint}});
+  sock->on_data = [this, id, relay, endpoint, offline] {
+    Socket* here = event_loop_.find(id);
+    if (here && here->in.rfind("done", 0) == 0)
+      record(offline ? "out" : "in", {{"r", relay}, {"e", endpoint}});
     if (here) here->in.clear();
   };
-  ring_.send(*sock, (out ? "OFFLINE " : "ONLINE ") + endpoint + "\n");
+  event_loop_.send(*sock, (offline ? "OFFLINE " : "ONLINE ") + endpoint + "\n");
 }
 
 // ---- waiting
 
-bool Rig::until(Millis within, const std::function<bool()>& holds) {
+bool Harness::run_until(Millis within, const std::function<bool()>& holds) {
   auto end = now() + within;
   while (!holds()) {
     if (now() >= end) return false;
-    ring_.turn(std::min(longest_round, std::max(0.0, end - now())));
+    event_loop_.run_once(std::min(longest_poll, std::max(0.0, end - now())));
     reap();
   }
   return true;
 }
 
-std::size_t Rig::count(const std::string& kind, const Words& wanted, std::size_t from) const {
+std::size_t Harness::count_entries(const std::string& kind, const Options& wanted, std::size_t from) const {
   std::size_t found = 0;
   for (std::size_t i = from; i < log_.size(); ++i) found += log_[i].matches(kind, wanted);
   return found;
 }
 
-std::vector<std::string> Rig::unended() const {
+std::vector<std::string> Harness::documents_without_end() const {
   std::vector<std::string> all;
-  for (const auto& [id, doc] : docs_)
-    if (doc.taken && !doc.ended) all.push_back(id);
+  for (const auto& [id, doc] : documents_)
+    if (doc.accepted && !doc.ended) all.push_back(id);
   return all;
 }
 
-bool Rig::has_converged() const {
+bool Harness::subscribers_converged() const {
   struct Newest {
     int version = -1;
-    bool over = false;
-    Millis said = 0;
+    bool tombstone = false;
+    Millis accepted_at = 0;
   };
-  std::map<std::string, const Entry*> handed;
+  std::map<std::string, const LogEntry*> handed;
   std::map<std::pair<std::string, std::string>, Newest> newest;  // by type and key
   std::map<std::pair<std::string, std::string>, int> had;        // by destination, and type and key
   std::vector<std::pair<std::string, Millis>> subscribers;
@@ -860,7 +867,7 @@
     for (const auto& [key, here] : newest) {
       const auto& own = setup_.streams.at(key.first);
       if (std::find(own.begin(), own.end(), std::stoi(dest)) == own.end() ||
-          (here.over && joined > here.said))
+          (here.tombstone && joined > here.accepted_at))
         continue;
       auto found = had.find({dest, key.first + " " + key.second});
       if (found == had.end() || found->second < here.version) return false;
@@ -868,17 +875,18 @@
   return true;
 }
 
-bool Rig::settled() const {
-  return std::none_of(docs_.begin(), docs_.end(), [&](const auto& at) {
-    return at.second.open && relays_.at(at.second.relay).pid > 0 && !relays_.at(at.second.relay).stopped;
+bool Harness::all_submissions_answered() const {
+  return std::none_of(documents_.begin(), documents_.end(), [&](const auto& at) {
+    return at.second.awaiting_answer && relays_.at(at.second.relay).pid > 0 &&
+           !relays_.at(at.second.relay).suspended;
   });
 }
 
-std::string Rig::process_log(const std::string& relay) const {
+std::string Harness::process_log(const std::string& relay) const {
   std::ifstream in(folder(relay) + "/log");
   return std::string(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
 }
-bool Rig::logged(const std::string& relay, const std::string& text) const {
+bool Harness::process_has_logged(const std::string& relay, const std::string& text) const {
   return process_log(relay).find(text) != std::string::npos;
 }
 
--- a/src/trial/plants.cpp
+++ b/src/trial/injected_violations.cpp
@@ -1,6 +1,6 @@
 // One falsification each, named as the rule that must see it; plants.h says what this owns.
 
-#include "trial/plants.h"
+#include "trial/injected_violations.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -11,87 +11,89 @@
 namespace rockcrank::trial {
 namespace {
 
-double number(const Entry& entry, const std::string& name) { return std::atof(entry.field(name).c_str()); }
+double number(const LogEntry& entry, const std::string& name) { return std::atof(entry.field(name).c_str()); }
 
-std::optional<Entry> first(
+std::optional<LogEntry> first(
     const Log& log, const std::string& kind, const std::map<std::string, std::string>& wanted,
-    const std::function<bool(const Entry&)>& fits = [](const Entry&) { return true; }) {
+    const std::function<bool(const LogEntry&)>& predicate = [](const LogEntry&) { return true; }) {
   for (const auto& entry : log)
-    if (entry.matches(kind, wanted) && fits(entry)) return entry;
+    if (entry.matches(kind, wanted) && predicate(entry)) return entry;
   return {};
 }
 
-void insert(Log& log, Entry entry, double at) {
+void insert(Log& log, LogEntry entry, double at) {
   entry.at = at;
   if (entry.kind == "call") entry.set("began", std::to_string(at));
-  auto place =
-      std::upper_bound(log.begin(), log.end(), at, [](double when, const Entry& e) { return when < e.at; });
-  log.insert(place, std::move(entry));
+  auto position = std::upper_bound(log.begin(), log.end(), at,
+                                   [](double when, const LogEntry& e) { return when < e.at; });
+  log.insert(position, std::move(entry));
 }
 
 // A call of a document of its own, so that nothing else is broken by it.
-void insert_stray(Log& log, Entry call, double at, const std::string& id = "stray") {
-  Entry hand{0,
-             "hand",
-             {{"r", call.field("r")},
-              {"id", id},
-              {"type", "plain"},
-              {"dest", call.field("dest")},
-              {"key", "0"},
-              {"v", "0"},
-              {"left", "100000"},
-              {"mark", call.field("mark")},
-              {"c", "c"},
-              {"empty", "0"}}};
+void insert_stray_call(Log& log, LogEntry call, double at, const std::string& id = "stray") {
+  LogEntry hand{0,
+                "hand",
+                {{"r", call.field("r")},
+                 {"id", id},
+                 {"type", "plain"},
+                 {"dest", call.field("dest")},
+                 {"key", "0"},
+                 {"v", "0"},
+                 {"left", "100000"},
+                 {"mark", call.field("mark")},
+                 {"c", "c"},
+                 {"empty", "0"}}};
   insert(log, hand, at - 1), insert(log, {0, "unsaid", {{"r", call.field("r")}, {"id", id}}}, at - 1);
   call.set("id", id);
   insert(log, std::move(call), at);
 }
 
 // The first document of a type that was taken on, called and answered, as its call and answer.
-struct Answered {
-  Entry call, answer;
+struct AnsweredCall {
+  LogEntry call, answer;
 };
-std::optional<Answered> answered(const Log& log, const std::string& type, const std::string& status = "200") {
+std::optional<AnsweredCall> find_answered(const Log& log, const std::string& type,
+                                          const std::string& status = "200") {
   for (const auto& hand : log) {
     if (hand.kind != "hand" || (!type.empty() && hand.field("type") != type)) continue;
     auto id = hand.field("id");
     auto said = first(log, "said", {{"id", id}, {"what", "OK"}});
     auto call = first(log, "call", {{"id", id}});
     auto answer = first(log, "answer", {{"id", id}, {"status", status}});
-    if (said && call && answer) return Answered{*call, *answer};
+    if (said && call && answer) return AnsweredCall{*call, *answer};
   }
   return {};
 }
 
-using Planter = std::function<bool(Log&)>;
+using Injector = std::function<bool(Log&)>;
 
-bool later_call(Log& log, const std::string& type, double after) {
-  auto found = answered(log, type);
+bool insert_later_call(Log& log, const std::string& type, double after) {
+  auto found = find_answered(log, type);
   if (!found) return false;
   insert(log, found->call, found->answer.at + after);
   return true;
 }
 
-bool shifted_wait(Log& log, bool same) {
-  auto told = first(log, "answer", {}, [](const Entry& e) { return number(e, "wait") > 0; });
-  if (!told) return false;
-  auto call = first(log, "call", {{"dest", told->field("dest")}}, [&](const Entry& e) {
-    return (e.field("r") == told->field("r")) == same && e.at > told->at + number(*told, "wait");
+bool insert_call_in_wait(Log& log, bool same) {
+  auto refusal = first(log, "answer", {}, [](const LogEntry& e) { return number(e, "wait") > 0; });
+  if (!refusal) return false;
+  auto call = first(log, "call", {{"dest", refusal->field("dest")}}, [&](const LogEntry& e) {
+    return (e.field("r") == refusal->field("r")) == same && e.at > refusal->at + number(*refusal, "wait");
   });
   if (!call) return false;
   // Late in the wait, as news needs its time.
-  insert_stray(log, *call, told->at + number(*told, "wait") - 300);
+  insert_stray_call(log, *call, refusal->at + number(*refusal, "wait") - 300);
   return true;
 }
 
 void forget_calls(Log& log, const std::string& id) {
-  std::erase_if(
-      log, [&](const Entry& e) { return (e.kind == "call" || e.kind == "answer") && e.field("id") == id; });
+  std::erase_if(log, [&](const LogEntry& e) {
+    return (e.kind == "call" || e.kind == "answer") && e.field("id") == id;
+  });
 }
 
-const std::map<std::string, Planter>& planters() {
-  static const std::map<std::string, Planter> all{
+const std::map<std::string, Injector>& injectors() {
+  static const std::map<std::string, Injector> all{
       {"crash",
        [](Log& log) {
          auto up = first(log, "up", {});
@@ -110,14 +112,14 @@
        }},
       {"lost",
        [](Log& log) {
-         auto found = answered(log, "plain");
+         auto found = find_answered(log, "plain");
          if (!found) return false;
          forget_calls(log, found->call.field("id"));
          return true;
        }},
       {"late",
        [](Log& log) {
-         auto found = answered(log, "plain");
+         auto found = find_answered(log, "plain");
          if (!found) return false;
          forget_calls(log, found->call.field("id"));
          auto at = log.back().at - 20;
@@ -126,21 +128,21 @@
        }},
       {"two-ends",
        [](Log& log) {
-         auto found = answered(log, "plain");
+         auto found = find_answered(log, "plain");
          if (!found) return false;
-         Entry notice{
+         LogEntry notice{
              0,
              "notice",
              {{"r", found->call.field("r")}, {"id", found->call.field("id")}, {"status", "deferred"}}};
          insert(log, notice, found->answer.at + 600);
          return true;
        }},
-      {"after-end", [](Log& log) { return later_call(log, "plain", 600); }},
-      {"effect-twice", [](Log& log) { return later_call(log, "binding", 20); }},
+      {"after-end", [](Log& log) { return insert_later_call(log, "plain", 600); }},
+      {"effect-twice", [](Log& log) { return insert_later_call(log, "binding", 20); }},
       {"window",
        [](Log& log) {
          auto type = first(log, "type", {{"name", "numbered"}});
-         auto found = answered(log, "numbered");
+         auto found = find_answered(log, "numbered");
          if (!type || !found) return false;
          // The first may have run, so it goes again: too late.
          for (auto& entry : log)
@@ -166,79 +168,80 @@
        }},
       {"drain",
        [](Log& log) {
-         auto gone = first(log, "list", {}, [](const Entry& e) { return e.field("state") != "Ready"; });
+         auto gone = first(log, "list", {}, [](const LogEntry& e) { return e.field("state") != "Ready"; });
          auto set = first(log, "set", {});
          if (!gone || !set) return false;
          auto call = first(log, "call", {{"e", gone->field("e")}});
          if (!call) return false;
-         insert_stray(log, *call, gone->at + number(*set, "grace") + 600);
+         insert_stray_call(log, *call, gone->at + number(*set, "grace") + 600);
          return true;
        }},
       {"pushed-over",
        [](Log& log) {
          for (const auto& works : log) {
            if (works.kind != "works") continue;
-           auto call =
-               first(log, "call", {{"e", works.field("e")}}, [&](const Entry& e) { return e.at > works.at; });
+           auto call = first(log, "call", {{"e", works.field("e")}},
+                             [&](const LogEntry& e) { return e.at > works.at; });
            auto failed = first(log, "broke", {{"e", works.field("e")}},
-                               [&](const Entry& e) { return e.at < works.at; });
+                               [&](const LogEntry& e) { return e.at < works.at; });
            if (!call || !failed) continue;
            call->set("r", failed->field("r"));
            auto from = works.at + 200;
-           for (int i = 0; i < 600; ++i) insert_stray(log, *call, from + i, "stray" + std::to_string(i));
+           for (int i = 0; i < 600; ++i) insert_stray_call(log, *call, from + i, "stray" + std::to_string(i));
            return true;
          }
          return false;
        }},
       {"order",
        [](Log& log) {
-         std::map<std::string, Entry> taken;  // by key and relay
+         std::map<std::string, LogEntry> taken;  // by key and relay
          for (const auto& hand : log) {
            if (hand.kind != "hand" || hand.field("type") != "ordered") continue;
            auto key = hand.field("r") + hand.field("key") + hand.field("c");
            auto before = taken.find(key);
            if (before != taken.end()) {
-             auto over = first(log, "answer", {{"id", before->second.field("id")}});
+             auto answer = first(log, "answer", {{"id", before->second.field("id")}});
              auto call = first(log, "call", {{"id", hand.field("id")}});
-             if (over && call) return insert(log, *call, over->at - 200), true;
+             if (answer && call) return insert(log, *call, answer->at - 200), true;
            }
            taken.emplace(key, hand);
          }
          return false;
        }},
-      {"wait", [](Log& log) { return shifted_wait(log, true); }},
+      {"wait", [](Log& log) { return insert_call_in_wait(log, true); }},
       {"opened",
        [](Log& log) {
-         auto told = first(log, "answer", {}, [](const Entry& e) { return number(e, "wait") > 0; });
-         auto conn = told ? first(log, "conn", {{"dest", told->field("dest")}, {"r", told->field("r")}})
-                          : std::optional<Entry>{};
+         auto refusal = first(log, "answer", {}, [](const LogEntry& e) { return number(e, "wait") > 0; });
+         auto conn = refusal
+                         ? first(log, "conn", {{"dest", refusal->field("dest")}, {"r", refusal->field("r")}})
+                         : std::optional<LogEntry>{};
          if (!conn) return false;
-         insert(log, *conn, told->at + number(*told, "wait") - 300);
+         insert(log, *conn, refusal->at + number(*refusal, "wait") - 300);
          return true;
        }},
-      {"shared-wait", [](Log& log) { return shifted_wait(log, false); }},
+      {"shared-wait", [](Log& log) { return insert_call_in_wait(log, false); }},
       {"out",
        [](Log& log) {
          auto out = first(log, "out", {});
          if (!out) return false;
          auto call = first(log, "call", {{"e", out->field("e")}},
-                           [&](const Entry& e) { return e.field("r") != out->field("r"); });
+                           [&](const LogEntry& e) { return e.field("r") != out->field("r"); });
          if (!call) return false;
-         insert_stray(log, *call, out->at + 1300);
+         insert_stray_call(log, *call, out->at + 1300);
          return true;
        }},
       {"backwards",
        [](Log& log) {
-         std::map<std::string, Entry> had;  // by destination and key
+         std::map<std::string, LogEntry> had;  // by destination and key
          for (const auto& call : Log(log)) {
            if (call.kind != "call" || call.field("id").find('.') == std::string::npos) continue;
-           auto place = call.field("dest") + " " + call.field("key");
-           auto before = had.find(place);
+           auto position = call.field("dest") + " " + call.field("key");
+           auto before = had.find(position);
            if (before != had.end() && number(before->second, "v") < number(call, "v")) {
              auto answer = first(log, "answer", {{"id", call.field("id")}, {"dest", call.field("dest")}});
              if (answer) return insert(log, before->second, answer->at + 100), true;
            }
-           had.emplace(place, call);
+           had.emplace(position, call);
          }
          return false;
        }},
@@ -253,14 +256,15 @@
     for (const auto& hand : Log(log)) {
       if (hand.kind != "hand" || hand.field("type") != "status" || (hand.at < subscriber.at) != late)
         continue;
-      bool newer = first(log, "hand", {{"type", "status"}, {"key", hand.field("key")}}, [&](const Entry& e) {
-                     return number(e, "v") > number(hand, "v");
-                   }).has_value();
+      bool newer =
+          first(log, "hand", {{"type", "status"}, {"key", hand.field("key")}}, [&](const LogEntry& e) {
+            return number(e, "v") > number(hand, "v");
+          }).has_value();
       auto call =
           first(log, "call",
                 {{"dest", subscriber.field("dest")}, {"key", hand.field("key")}, {"v", hand.field("v")}});
       if (newer || !call) continue;
-      std::erase_if(log, [&](const Entry& e) {
+      std::erase_if(log, [&](const LogEntry& e) {
         return e.matches(
             "call", {{"dest", subscriber.field("dest")}, {"key", hand.field("key")}, {"v", hand.field("v")}});
       });
@@ -272,16 +276,16 @@
 
 }  // namespace
 
-std::vector<std::string> plant_names() {
+std::vector<std::string> violation_names() {
   std::vector<std::string> names{"joiner", "convergence"};
-  for (const auto& [name, planter] : planters()) names.push_back(name);
+  for (const auto& [name, injector] : injectors()) names.push_back(name);
   return names;
 }
 
-bool plant(const std::string& name, Log& log) {
+bool inject_violation(const std::string& name, Log& log) {
   if (name == "joiner") return forget_delivery(log, true);
   if (name == "convergence") return forget_delivery(log, false);
-  return planters().at(name)(log);
+  return injectors().at(name)(log);
 }
 
 }  // namespace rockcrank::trial
--- a/src/trial/plants.h
+++ b/src/trial/injected_violations.h
@@ -9,8 +9,8 @@
 
 namespace rockcrank::trial {
 
-std::vector<std::string> plant_names();
+std::vector<std::string> violation_names();
 // False: the log holds nothing in which the break could be planted. Throws std::out_of_range: no such plant.
-bool plant(const std::string& name, Log& log);
+bool inject_violation(const std::string& name, Log& log);
 
 }  // namespace rockcrank::trial
--- a/src/trial/log.h
+++ b/src/trial/log.h
@@ -13,7 +13,7 @@
 
 namespace rockcrank::trial {
 
-struct Entry {
+struct LogEntry {
   double at = 0;  // ms since the trial began
   std::string kind;
   std::vector<std::pair<std::string, std::string>> fields;  // no spaces in either
@@ -43,21 +43,21 @@
     return true;
   }
 };
-using Log = std::vector<Entry>;
+using Log = std::vector<LogEntry>;
 
-inline std::string text_of(const Log& log) {
+inline std::string format_log(const Log& log) {
   std::string out;
   for (const auto& entry : log) out += entry.text() + '\n';
   return out;
 }
 
 // The other way round, for a log that was kept.
-inline Log log_of(const std::string& text) {
+inline Log parse_log(const std::string& text) {
   Log log;
   std::istringstream lines(text);
   for (std::string line; std::getline(lines, line);) {
     std::istringstream words(line);
-    Entry entry;
+    LogEntry entry;
     words >> entry.at >> entry.kind;
     for (std::string word; words >> word;)
       if (auto equals = word.find('='); equals != std::string::npos)
--- a/src/trial/main.cpp
+++ b/src/trial/main.cpp
@@ -10,24 +10,24 @@
 #include <stdexcept>
 
 #include "trial/auditor.h"
-#include "trial/cold.h"
-#include "trial/draw.h"
-#include "trial/plants.h"
-#include "trial/rig.h"
+#include "trial/cold_returns.h"
+#include "trial/harness.h"
+#include "trial/injected_violations.h"
+#include "trial/random_trial.h"
 #include "trial/scene.h"
 
 namespace {
 
 using namespace rockcrank::trial;
 
-constexpr int holds = 0, broken = 1, bad_arguments = 2;
+constexpr int exit_holds = 0, exit_broken = 1, exit_bad_arguments = 2;
 
 struct Arguments {
   unsigned long seed = 1;
   int relays = 3;
   double seconds = 6;
   bool verbose = false;
-  std::string part, scene, plant, program, faults, log, audited;
+  std::string part, scene, violation, program, faults, log, audited;
 };
 
 Arguments read_arguments(int argc, char** argv) {
@@ -51,14 +51,15 @@
   auto given = options.parse(argc, argv);
   if (given.count("help")) {
     std::fputs(options.help().c_str(), stdout);
-    std::exit(holds);
+    std::exit(exit_holds);
   }
   if (!given.unmatched().empty()) throw std::runtime_error("what is '" + given.unmatched().front() + "'?");
   Arguments all;
   auto text = [&](const char* name, std::string& to) {
     if (given.count(name)) to = given[name].as<std::string>();
   };
-  text("part", all.part), text("scene", all.scene), text("plant", all.plant), text("program", all.program);
+  text("part", all.part), text("scene", all.scene), text("plant", all.violation),
+      text("program", all.program);
   text("faults", all.faults), text("log", all.log), text("audit", all.audited);
   if (given.count("seed")) all.seed = given["seed"].as<unsigned long>();
   if (given.count("relays")) all.relays = given["relays"].as<int>();
@@ -72,12 +73,12 @@
   if (!all.part.empty() && all.part != "fleet" && all.part != "documents" && all.part != "warm" &&
       all.part != "latest" && all.part != "cold")
     wrong("--part is fleet, documents, warm, latest or cold, not '" + all.part + "'");
-  if (!all.plant.empty()) {
-    auto names = plant_names();
-    if (std::find(names.begin(), names.end(), all.plant) == names.end()) {
+  if (!all.violation.empty()) {
+    auto names = violation_names();
+    if (std::find(names.begin(), names.end(), all.violation) == names.end()) {
       std::string known;
       for (const auto& name : names) known += " " + name;
-      wrong("no such plant: '" + all.plant + "'; there are" + known);
+      wrong("no such plant: '" + all.violation + "'; there are" + known);
     }
   }
   if (all.program.empty())
@@ -92,17 +93,17 @@
   return all;
 }
 
-int tell(const std::vector<Broken>& found, const std::string& how) {
+int print_verdict(const std::vector<Violation>& found, const std::string& description) {
   for (const auto& one : found) {
-    std::printf("broken: %s: %s\n", one.rule.c_str(), one.what.c_str());
-    for (const auto& line : one.story) std::printf("    %s\n", line.c_str());
+    std::printf("broken: %s: %s\n", one.check.c_str(), one.summary.c_str());
+    for (const auto& line : one.evidence) std::printf("    %s\n", line.c_str());
   }
-  std::printf("%s: %s\n", how.c_str(), found.empty() ? "holds" : "broken");
-  return found.empty() ? holds : broken;
+  std::printf("%s: %s\n", description.c_str(), found.empty() ? "holds" : "broken");
+  return found.empty() ? exit_holds : exit_broken;
 }
 
-void falsify(const std::string& name, Log& log) {
-  if (!plant(name, log))
+void mutate_log(const std::string& name, Log& log) {
+  if (!inject_violation(name, log))
     throw std::runtime_error("nothing was seen in which '" + name + "' could be planted");
 }
 
@@ -111,36 +112,36 @@
     std::ifstream file(all.audited);
     if (!file) throw std::runtime_error("cannot read the log " + all.audited);
     std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
-    if (!all.plant.empty()) {
-      auto log = log_of(text);
-      falsify(all.plant, log);
-      text = text_of(log);
+    if (!all.violation.empty()) {
+      auto log = parse_log(text);
+      mutate_log(all.violation, log);
+      text = format_log(log);
     }
-    return tell(audit(text), all.audited);
+    return print_verdict(audit(text), all.audited);
   }
   Setup setup;
   setup.program = all.program, setup.relays = all.relays, setup.seed = all.seed, setup.verbose = all.verbose;
   if (!all.faults.empty()) setup.fault_library = std::filesystem::absolute(all.faults).string();
-  setup.settings = plain_settings();
+  setup.settings = default_settings();
   std::optional<Scene> scene;
   const bool cold = all.scene.empty() && all.part == "cold";
-  if (cold) draw_cold_world(setup);
-  else if (all.scene.empty()) draw_world(setup, all.part);
+  if (cold) set_up_cold_returns(setup);
+  else if (all.scene.empty()) set_up_random_trial(setup, all.part);
   else scene.emplace(all.scene), scene->set_up(setup);
-  Rig rig(setup);
-  auto failed = scene  ? scene->play(rig)
-                : cold ? play_cold_returns(rig)
-                       : play_drawn(rig, all.part, all.seconds);
-  if (!all.plant.empty() && failed.empty()) falsify(all.plant, rig.log());
-  if (!all.log.empty()) std::ofstream(all.log) << text_of(rig.log());
-  auto how = scene ? "scene " + all.scene
-                   : "seed " + std::to_string(all.seed) + ", " + std::to_string(setup.relays) + " relays, " +
-                         (all.part.empty() ? "all parts" : "part " + all.part);
-  how += ", " + std::to_string(rig.count("hand", {})) + " documents, " +
-         std::to_string(rig.count("call", {})) + " calls";
-  auto found = audit(text_of(rig.log()));
+  Harness harness(setup);
+  auto failed = scene  ? scene->play(harness)
+                : cold ? play_cold_returns(harness)
+                       : play_random_trial(harness, all.part, all.seconds);
+  if (!all.violation.empty() && failed.empty()) mutate_log(all.violation, harness.log());
+  if (!all.log.empty()) std::ofstream(all.log) << format_log(harness.log());
+  auto description = scene ? "scene " + all.scene
+                           : "seed " + std::to_string(all.seed) + ", " + std::to_string(setup.relays) +
+                                 " relays, " + (all.part.empty() ? "all parts" : "part " + all.part);
+  description += ", " + std::to_string(harness.count_entries("hand", {})) + " documents, " +
+                 std::to_string(harness.count_entries("call", {})) + " calls";
+  auto found = audit(format_log(harness.log()));
   if (!failed.empty()) found.insert(found.begin(), {"scene", failed, {}});
-  return tell(found, how);
+  return print_verdict(found, description);
 }
 
 }  // namespace
@@ -151,12 +152,12 @@
     all = read_arguments(argc, argv);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "rockcrank_trial: %s\n", error.what());
-    return bad_arguments;
+    return exit_bad_arguments;
   }
   try {
     return run(all);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "rockcrank_trial: %s\n", error.what());
-    return bad_arguments;
+    return exit_bad_arguments;
   }
 }
--- a/src/trial/process_faults.cpp
+++ b/src/trial/process_faults.cpp
@@ -11,8 +11,8 @@
 struct FailingCall {
   const char* function;
   const char* error;
-  int every_least;  // one of so many calls fails, at the most
-  int every_most;
+  int min_interval;  // one of so many calls fails, at the most
+  int max_interval;
 };
 
 // Errors that pass, as Linux documents them for each call.
@@ -33,15 +33,15 @@
 constexpr std::array<const char*, 2> disk_errors = {"ENOSPC", "EIO"};
 constexpr std::array<long, 6> clock_steps_ms = {0, 0, 4000, -4000, 3600000, -3600000};
 
-class Draw {
+class RandomSource {
  public:
-  Draw(std::uint64_t seed, const std::string& relay, int life)
-      : chance_(seed * 1000003 + std::hash<std::string>{}(relay + "/" + std::to_string(life))) {}
-  int between(int low, int high) { return std::uniform_int_distribution<int>(low, high)(chance_); }
-  bool odds(int percent) { return between(1, 100) <= percent; }
+  RandomSource(std::uint64_t seed, const std::string& relay, int life)
+      : engine_(seed * 1000003 + std::hash<std::string>{}(relay + "/" + std::to_string(life))) {}
+  int between(int low, int high) { return std::uniform_int_distribution<int>(low, high)(engine_); }
+  bool happens(int percent) { return between(1, 100) <= percent; }
 
  private:
-  std::mt19937_64 chance_;
+  std::mt19937_64 engine_;
 };
 
 }  // namespace
@@ -49,20 +49,20 @@
 std::map<std::string, std::string> draw_process_faults(const std::string& library, std::uint64_t seed,
                                                        const std::string& relay, int life) {
   if (library.empty()) return {};
-  Draw draw(seed, relay, life);
+  RandomSource random(seed, relay, life);
   std::string rules;
   auto add = [&](const char* function, const char* error, const std::string& when) {
     rules += std::string(function) + ":" + error + ":" + when + "\n";
   };
   for (const auto& call : failing_calls)
-    if (draw.odds(30))
-      add(call.function, call.error, std::to_string(draw.between(call.every_least, call.every_most)));
-  if (draw.odds(25)) {
-    int from = draw.between(0, 16000), to = from + draw.between(300, 4000);
-    add("write", disk_errors[draw.between(0, disk_errors.size() - 1)],
+    if (random.happens(30))
+      add(call.function, call.error, std::to_string(random.between(call.min_interval, call.max_interval)));
+  if (random.happens(25)) {
+    int from = random.between(0, 16000), to = from + random.between(300, 4000);
+    add("write", disk_errors[random.between(0, disk_errors.size() - 1)],
         std::to_string(from) + "-" + std::to_string(to));
   }
-  long ahead_ms = clock_steps_ms[draw.between(0, clock_steps_ms.size() - 1)];
+  long ahead_ms = clock_steps_ms[random.between(0, clock_steps_ms.size() - 1)];
   return {{"LD_PRELOAD", library},
           {"ROCKCRANK_FAIL", rules},
           {"ROCKCRANK_WALL_AHEAD_MS", std::to_string(ahead_ms)}};
--- a/src/trial/draw.h
+++ b/src/trial/random_trial.h
@@ -4,13 +4,13 @@
 
 #include <string>
 
-#include "trial/rig.h"
+#include "trial/harness.h"
 
 namespace rockcrank::trial {
 
 // The world of a drawn trial. part: fleet, documents, warm, latest, or empty for all that the program has.
-void draw_world(Setup& setup, const std::string& part);
+void set_up_random_trial(Setup& setup, const std::string& part);
 // Empty, or what could not be played, as a process that does not come up.
-std::string play_drawn(Rig& rig, const std::string& part, double seconds);
+std::string play_random_trial(Harness& harness, const std::string& part, double seconds);
 
 }  // namespace rockcrank::trial
--- a/src/trial/scene.h
+++ b/src/trial/scene.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "trial/rig.h"
+#include "trial/harness.h"
 
 namespace rockcrank::trial {
 
@@ -15,17 +15,17 @@
   // What the lines before the first event tell of the world.
   void set_up(Setup& setup) const;
   // Empty: all that it waits for came. Else the line and what was seen instead.
-  std::string play(Rig& rig) const;
+  std::string play(Harness& harness) const;
 
  private:
   struct Step {
     int line = 0;
     std::string text;
-    std::vector<std::string> plain;
-    Words words;
+    std::vector<std::string> positional;
+    Options options;
   };
-  bool tells_of_world(const Step& step) const;
-  std::string carry_out(Rig& rig, const Step& step, std::size_t& from) const;
+  bool is_setup(const Step& step) const;
+  std::string run_step(Harness& harness, const Step& step, std::size_t& mark) const;
   std::string path_;
   std::vector<Step> steps_;
 };
--- a/src/trial/timetable.h
+++ b/src/trial/schedule.h
@@ -5,24 +5,24 @@
 #include <functional>
 #include <vector>
 
-#include "trial/rig.h"
+#include "trial/harness.h"
 
 namespace rockcrank::trial {
 
-class Timetable {
+class Schedule {
  public:
-  using Action = std::function<void(Rig&)>;
+  using Action = std::function<void(Harness&)>;
 
   void add(Millis at, Action action);
   // From now on. Actions of one moment keep the order in which they were added.
-  void play(Rig& rig, const std::function<void(Millis at)>& after_each = {});
+  void play(Harness& harness, const std::function<void(Millis at)>& after_each = {});
 
  private:
-  struct Entry {
+  struct TimedAction {
     Millis at = 0;
     Action action;
   };
-  std::vector<Entry> entries_;
+  std::vector<TimedAction> actions_;
 };
 
 }  // namespace rockcrank::trial
