--- a/src/bench/fleet_bench.cpp
+++ b/src/bench/fleet_bench.cpp
@@ -1,6 +1,6 @@
-// Measures the fleet's parts on real processes on loopback, paired plays in turn, and prints tables:
-// documents taken on, how soon a told wait is known, what a kill costs, a replacement warmed against a cold
-// one. It must never stand in for a test: it judges no rule.
+// Measures the fleet's features with real processes on loopback, in interleaved runs, and prints tables:
+// accepted documents, how fast a retry_after wait spreads, what a kill costs, and a warmed replacement
+// against a cold one. It checks nothing and replaces no test.
 
 #include <sys/types.h>
 
@@ -34,7 +34,7 @@
   double seconds = 1.5;
 };
 
-// Least, middle and greatest of several plays.
+// Formats the minimum, median and maximum of several runs.
 std::string format_spread(std::vector<double> all, int client_addresses = 0) {
   if (all.empty()) return "none";
   std::sort(all.begin(), all.end());
@@ -50,7 +50,7 @@
   return all[at];
 }
 
-// Milliseconds of processor that a process, of one thread, has used.
+// Returns the CPU time of a single-threaded process in ms.
 Millis cpu_time(pid_t process) {
   std::ifstream file("/proc/" + std::to_string(process) + "/schedstat");
   double nanos = 0;
@@ -82,14 +82,14 @@
   return all;
 }
 
-// ---- documents taken on
+// ---- accepted documents
 
 struct AcceptedRun {
   double rate = 0, cost = 0, p50 = 0, p99 = 0, busy = 0;
 };
 
-// First paced (waits of +OK, and processor for a document that is taken on, delivered and ended), then as
-// many as the relays take.
+// Runs first at a fixed rate, to measure the time to +OK and the CPU time for a whole document, then at full
+// load.
 AcceptedRun run_accepted(const Arguments& all, Setup setup, double pace) {
   Harness harness(std::move(setup));
   for (int i = 0; i < 4; ++i)
@@ -113,7 +113,7 @@
   run.cost = (used() - before) * 1000 / static_cast<double>(std::max<std::uint64_t>(first.accepted, 1));
   run.p50 = quantile(first.answer_times, 0.5), run.p99 = quantile(first.answer_times, 0.99);
   load_settings.id_prefix = "s",
-  load_settings.window = 256;  // relays answer once a tick: few at once would measure that
+  load_settings.window = 256;  // relays answer once per tick, so a small window would measure the tick
   Load full(load_settings);
   pause(harness, all.seconds * 1000);
   auto second = full.stop(0);
@@ -168,9 +168,9 @@
   }
 }
 
-// ---- told waits
+// ---- retry_after waits
 
-// From a 429 with Retry-After, as it is sent, to the line about that wait in the log of the last other relay.
+// Measures from sending a 429 with Retry-After until the last other relay logs that wait.
 std::vector<Millis> run_waits(const Arguments& all, Millis link_delay, int runs) {
   auto setup = base_setup(all, 5);
   Harness harness(std::move(setup));
@@ -274,11 +274,12 @@
 
 // ---- a replacement
 
-constexpr int popular_destinations = 30;  // endpoints, one for each destination, asked for by Zipf
-constexpr Millis immediate_call = 5;      // a call that comes so soon after its connection has waited for it
-constexpr Millis search_window = 250;     // of the search for the steady state
-constexpr Millis warm_up = 4000;          // traffic before the kill; the last half of it is the steady state
-constexpr Millis observed = 8000;         // of the replacement's life
+constexpr int popular_destinations = 30;  // one endpoint for each destination, chosen by a Zipf distribution
+// a call this soon after its connection opened has waited for the handshake
+constexpr Millis immediate_call = 5;
+constexpr Millis search_window = 250;  // for finding the steady state
+constexpr Millis warm_up = 4000;       // traffic before the kill; its second half is the steady state
+constexpr Millis observed = 8000;      // time observed after the replacement started
 
 struct ReplacedRun {
   double handshakes_met = 0, steady_after = 0, wasted = 0, refused = 0, opened = 0;
@@ -296,7 +297,7 @@
         {{"for", std::to_string(i)}, {"rate", "500"}, {"after", "15"}, {"hall", i % 2 ? "h0" : "h1"}});
     load_settings.weights.push_back(1.0 / i);
   }
-  // One more destination, under a told wait when the replacement comes.
+  // One more destination, in a retry_after wait when the replacement starts.
   harness.set_endpoint("shut",
                        {{"for", std::to_string(popular_destinations + 1)}, {"rate", "500"}, {"after", "15"}});
   load_settings.weights.push_back(0.2);
@@ -317,13 +318,13 @@
   auto from = harness.log().size();
   pause(harness, observed);
   load.stop(0);
-  // A connection: when it came up, and when its first call came. A call has met a handshake if it is the
-  // first of its connection and came at once.
+  // When a connection opened and when its first call came. A call waited for a handshake if it is the first
+  // on its connection and came right after it opened.
   struct Connection {
     Millis up = 0, first = -1;
   };
   std::map<std::string, Connection> connections;
-  std::map<int, std::pair<int, int>> windows;  // calls, and those that met a handshake
+  std::map<int, std::pair<int, int>> windows;  // calls, and those that waited for a handshake
   int steady_calls = 0, steady_met = 0;
   Millis began = -1;
   ReplacedRun run;
@@ -331,7 +332,7 @@
     const auto& entry = harness.log()[at];
     if (entry.field("r") != "n5") continue;
     if (at >= from && entry.kind == "answer" && entry.field("status") != "200") ++run.refused;
-    // What goes to the one under a told wait is counted as refused, and as nothing else.
+    // Calls to the destination in a retry_after wait count only as refused.
     if (entry.field("e") == "shut") continue;
     if (entry.kind == "conn") connections[entry.field("conn")] = {entry.at, -1};
     if (entry.kind != "call") continue;
@@ -349,7 +350,7 @@
   for (const auto& [number, connection] : connections)
     if (connection.up > killed) ++run.opened, run.wasted += connection.first < 0;
   auto steady = 1 - static_cast<double>(steady_met) / std::max(steady_calls, 1);
-  // The end of the last window that is below 90 in 100 of the steady state.
+  // The end of the last window that is below 90% of the steady state.
   for (const auto& [number, counted] : windows)
     if (1 - static_cast<double>(counted.second) / counted.first < 0.9 * steady)
       run.steady_after = search_window * (number + 1);
--- a/src/bench/latest_bench.cpp
+++ b/src/bench/latest_bench.cpp
@@ -1,6 +1,6 @@
-// Measures the log per key on real files: what a late joiner costs, bytes on disk after compaction, write
-// amplification, memory a key, a start, and a catch-up between two relays. It must never stand in for a test:
-// it checks nothing.
+// Measures the log of latest versions on real files: the cost of a late joiner, disk use after compaction,
+// write amplification, memory per key, start time, and a catch-up between two relays. It checks nothing and
+// replaces no test.
 
 #include <benchmark/benchmark.h>
 
@@ -77,8 +77,8 @@
   }
 };
 
-// 1,000,000 documents over 10,000 keys, 10,000 a second; then one joins, while a document in 20 deliveries
-// comes.
+// Takes 1,000,000 documents over 10,000 keys at 10,000 a second; then a subscriber joins, with one new
+// document for every 20 deliveries.
 void late_joiner(benchmark::State& state) {
   for (auto run : state) {
     Folder folder;
@@ -90,7 +90,7 @@
       if (i % 100 == 99) play.turn(10);
     }
     auto most = folder.bytes();
-    play.rest(60000);  // compactions that are due are done
+    play.rest(60000);  // lets pending compactions finish
     auto usage = play.log->module().usage();
     state.counters["latest_bytes"] = static_cast<double>(usage.live_bytes);
     state.counters["disk_of_latest"] =
@@ -124,7 +124,8 @@
 }
 BENCHMARK(late_joiner)->Arg(1)->Arg(2)->Arg(3)->Iterations(1)->Unit(benchmark::kMillisecond);
 
-// Two relays of 100,000 keys each, of which one in 100 differs: bytes of the catch-up against a whole copy.
+// Compares the bytes of a catch-up with those of a full copy, for two relays of 100,000 keys of which 1%
+// differ.
 void catch_up(benchmark::State& state) {
   for (auto run : state) {
     Folder folder;
--- a/src/bench/load.cpp
+++ b/src/bench/load.cpp
@@ -1,4 +1,4 @@
-// The load's one thread; load.h says what it owns.
+// Runs the load generator on a thread of its own.
 
 #include "bench/load.h"
 
@@ -7,7 +7,7 @@
 namespace rockcrank::bench {
 namespace {
 
-constexpr Millis reconnect_delay = 10;  // between tries to reach a relay
+constexpr Millis reconnect_delay = 10;  // between attempts to connect to a relay
 constexpr std::uint64_t keys = 4096;
 
 std::string command(const std::vector<std::string>& words) {
@@ -51,7 +51,7 @@
   };
   for (auto end = event_loop_.now() + answer_timeout_; open() && event_loop_.now() < end;)
     event_loop_.run_once(5);
-  if (settings_.window > 0) result_.accepted = accepted;  // what came after the end is no part of the rate
+  if (settings_.window > 0) result_.accepted = accepted;  // excludes answers after the end from the rate
   for (const auto& connection : connections_) result_.unanswered += connection.submitted_at.size();
 }
 
@@ -63,7 +63,7 @@
     fill_window(at);
   };
   sock->on_data = [this, at] { handle_answers(at); };
-  // A relay that is gone is tried until one is there again.
+  // Reconnects until the relay is back.
   sock->on_closed = [this, at] {
     connections_[at].up = false;
     result_.unanswered += connections_[at].submitted_at.size();
--- a/src/bench/load.h
+++ b/src/bench/load.h
@@ -1,6 +1,6 @@
-// Owns a load on relays, on a thread and a ring of its own: documents handed in by client connections, as
-// many at once or as many a second as told, and when each +OK came. It must never know the relays otherwise,
-// nor share anything with the rig while it runs.
+// Load generator with a thread and an event loop of its own. It submits documents over client connections,
+// with a fixed window or at a fixed rate, and measures the time to each +OK. It shares nothing with the
+// harness while it runs.
 #pragma once
 
 #include <atomic>
@@ -19,21 +19,21 @@
 
 struct LoadSettings {
   std::vector<trial::Address> relays;
-  std::string id_prefix;         // the documents' ids begin so
-  std::string type = "plain";    // a document type of the settings
-  int connections = 2;           // to each relay
-  int window = 0;                // documents without an answer on each connection; 0: paced
-  double rate = 0;               // documents a second to each relay, if paced
-  std::vector<double> weights;   // of destinations 1, 2, ...; empty: all go to 1
-  Millis time_to_expiry = 8000;  // to the documents' expiry
-  std::size_t body_bytes = 200;  // bytes
+  std::string id_prefix;        // of the documents' ids
+  std::string type = "plain";   // document type of the settings
+  int connections = 2;          // to each relay
+  int window = 0;               // unanswered documents on each connection; 0: fixed rate
+  double rate = 0;              // documents a second to each relay, for a fixed rate
+  std::vector<double> weights;  // of destinations 1, 2, ...; empty: all documents go to 1
+  Millis time_to_expiry = 8000;
+  std::size_t body_bytes = 200;
   unsigned seed = 1;
 };
 
 struct LoadResult {
   std::uint64_t accepted = 0, busy = 0, other = 0, unanswered = 0;
   Millis duration = 0;
-  std::vector<Millis> answer_times;  // from handed in to +OK
+  std::vector<Millis> answer_times;  // from submission to +OK
 };
 
 class Load {
@@ -42,7 +42,7 @@
   ~Load();
   Load(const Load&) = delete;
   Load& operator=(const Load&) = delete;
-  // Ends the load, and waits at most `rest` for answers that are still to come.
+  // Stops the load and waits at most `answer_timeout` for outstanding answers.
   LoadResult stop(Millis answer_timeout = 300);
 
  private:
@@ -62,8 +62,8 @@
   LoadSettings settings_;
   trial::EventLoop event_loop_;
   std::vector<Connection> connections_;
-  std::vector<std::size_t> next_connection_;  // of each relay
-  std::vector<double> submitted_;             // of each relay, if paced
+  std::vector<std::size_t> next_connection_;  // by relay
+  std::vector<double> submitted_;             // by relay, for a fixed rate
   std::minstd_rand random_;
   std::discrete_distribution<int> destinations_;
   std::uint64_t last_number_ = 0;
--- a/src/trial/auditor.cpp
+++ b/src/trial/auditor.cpp
@@ -1,5 +1,5 @@
-// The checks, one function each; auditor.h says what this owns. A check that cannot be sure (a line may have
-// been read or not, a copy may have been lost) does not accuse: what excuses a relay is written at each.
+// Implements one function for each check. A check reports only what the log proves; where a line may not have
+// been read or a copy may have been lost, the relay is excused, and the reason stands at each check.
 
 #include "trial/auditor.h"
 
@@ -18,17 +18,17 @@
 using Time = double;  // ms
 constexpr Time never = 1e18;
 
-// What is allowed for the machine that the trial runs on, and for the poll rounds of the stand-ins.
-constexpr Time answer_slack = 500;    // beyond a document's expiry
-constexpr Time delivery_slack = 150;  // a call or an answer that was written may be read so much later
-constexpr Time wait_slack = 60;       // a wait counts from the reading of its answer
-constexpr Time read_within = 250;     // an answer to a process that runs
-constexpr Time tried_within = 500;    // a message that was taken on, where nothing else is wrong
-constexpr Time known_within = 1000;   // by a relay that is linked to one that knows
-constexpr Time redial_within = 2500;  // a link that was cut, or whose member was not there, is dialled anew
+// Tolerances for delays of the test machine and of the harness's poll loop.
+constexpr Time answer_slack = 500;    // after a document's expiry
+constexpr Time delivery_slack = 150;  // from writing a call or an answer to reading it
+constexpr Time wait_slack = 60;       // a wait counts from when the relay reads the answer
+constexpr Time read_within = 250;     // for an answer to a running process
+constexpr Time tried_within = 500;    // for an accepted document when there is no other fault
+constexpr Time known_within = 1000;   // by a relay that is linked to one that has the knowledge
+constexpr Time redial_within = 2500;  // after a cut, or after a missing member returns
 constexpr Time client_timeout = 3000;
 constexpr Time drain_slack = 300;
-constexpr Time recovery_time = 8000;  // after the last fault: take-overs, catch-up, held documents
+constexpr Time recovery_time = 8000;  // after the last fault: takeovers, catch-up and held documents
 
 struct Line {
   Time at = 0;
@@ -49,7 +49,7 @@
   std::string relay, endpoint, dest, id, idempotency_key, key;
   long version = 0;
   int life = 0, status = 0;
-  // A status that proves that the document never ran; all else may have.
+  // Whether the status proves that the document did not run; any other status leaves that open.
   bool surely_not_run() const {
     return status == 429 || status == 503 || status == 400 || status == 413 || status == 504 || status == 410;
   }
@@ -63,7 +63,7 @@
   std::string id, relay, type, dest, key, idempotency_key, client;
   long version = 0;
   Time submitted_at = 0, answered_at = never, expiry = never;
-  std::string answer;  // the client was told
+  std::string answer;  // OK, BUSY or ERR, as the client received it
   int life = 0, sequence = 0;
   bool connection_lost = false, tombstone = false;
   std::vector<Call> calls;
@@ -73,7 +73,7 @@
   std::string repeat, scope;
   Time window = 0;
   bool ordered = false;
-  std::set<std::string> subscribers;  // of a stream
+  std::set<std::string> subscribers;  // destinations, if the type is a stream
 };
 struct Interval {
   Time from = 0, to = never;
@@ -82,7 +82,7 @@
 };
 struct Relay {
   std::vector<Interval> up, stalled;
-  std::vector<Time> lost;  // its folder emptied, or an older one put in its place
+  std::vector<Time> lost;  // when its folder was emptied or replaced by an older copy
   std::vector<Time> disk_full;
   bool is_duplicate = false;
   bool runs(Time at) const {
@@ -113,7 +113,7 @@
   }
 
  private:
-  // ---- reading
+  // ---- parsing
 
   void read(const std::string& log) {
     std::istringstream in(log);
@@ -163,7 +163,7 @@
       if (line.field("way") != "open") cuts.push_back({line.at, never});
       add_disturbance(line.at);
     } else if (kind == "reset" || kind == "tear" || kind == "corrupt" || kind == "flood") {
-      // The link is down for as long as it takes to come up again.
+      // Counts the link as down until it has had time to reconnect.
       cuts_[{line.field("i"), line.field("j")}].push_back({line.at, line.at + known_within}),
           add_disturbance(line.at);
     } else if (kind == "told") listed_states_[{relay, line.field("e")}].push_back(line);
@@ -211,9 +211,9 @@
       if (!one.empty()) all.insert(one);
     return all;
   }
-  // A stream's document goes to each subscriber under its id and the subscriber's destination; to one that it
-  // was handed in for, also as any document. What it is of is known by the id, as one that ends a key has no
-  // body.
+  // Collects the calls that deliver a stream's documents. Each subscriber gets a document under its id with
+  // the subscriber's destination appended; the destination that the document was submitted for may also get
+  // it under the plain id. The document is found by its id, since a tombstone has no body.
   void collect_deliveries() {
     for (auto& [id, doc] : documents_) {
       auto dot = id.rfind('.');
@@ -242,13 +242,13 @@
     const Document* doc;
   };
 
-  // ---- what holds at a time
+  // ---- state at a given time
 
   void add_disturbance(Time at) { disturbances_.push_back(at); }
   bool share() const { return settings_.field("share") == "1"; }
   int copies() const { return static_cast<int>(settings_.number("copies")); }
 
-  // Whether both ran and nothing was wrong with the link between them, either way.
+  // Whether both relays ran and no fault was on the link between them in either direction.
   bool undisturbed_between(const std::string& one, const std::string& other, Time a, Time b) const {
     for (const auto& pair : {std::make_pair(one, other), std::make_pair(other, one)}) {
       auto cuts = cuts_.find(pair);
@@ -258,15 +258,15 @@
     }
     return relays_.at(one).runs_throughout(a, b) && relays_.at(other).runs_throughout(a, b);
   }
-  // Whether messages surely pass between them throughout: nothing was wrong for long enough to dial anew, or
-  // since the rig saw bytes come and go on all links.
+  // Whether messages surely pass between the two relays during the whole interval: either the link was free
+  // of faults for long enough to reconnect, or the harness has since seen traffic on all links.
   bool connected(const std::string& one, const std::string& other, Time a, Time b) const {
     if (undisturbed_between(one, other, a - redial_within, b)) return true;
     auto seen = std::upper_bound(all_linked_at_.begin(), all_linked_at_.end(), a);
     return seen != all_linked_at_.begin() && undisturbed_between(one, other, *std::prev(seen), b);
   }
-  // Whether news that `from` has at `at` has surely come to `to` by `by`: over relays that ran and links that
-  // held all the while that it takes, either from the first moment or up to the last.
+  // Whether information that `from` had at `at` has surely reached `to` by `by`. It may travel over several
+  // relays; the path must hold for the whole propagation time, either right after `at` or right before `by`.
   bool surely_informed(const std::string& from, const std::string& to, Time at, Time by) const {
     if (!share() || by < at + known_within || !relays_.at(to).runs_throughout(by - known_within, by))
       return false;
@@ -285,12 +285,13 @@
     return (relays_.at(to).runs_throughout(at, by) && reaches(at, at + known_within)) ||
            (relays_.at(from).runs_throughout(at, by) && reaches(by - known_within, by));
   }
-  bool answer_was_read(const Call& call) const {  // its answer, by the relay that made it
+  // Whether the relay that made the call surely read its answer.
+  bool answer_was_read(const Call& call) const {
     return call.answered < never &&
            relays_.at(call.relay).runs_throughout(call.answered, call.answered + read_within) &&
            relays_.at(call.relay).life(call.answered) == call.life;
   }
-  // A fault of a process or link (or a member missing) at some time within.
+  // Whether a process or link had a fault, or a member was missing, during the interval.
   bool had_disturbance(Time a, Time b) const {
     if (std::any_of(disturbances_.begin(), disturbances_.end(), [&](Time at) { return a <= at && at <= b; }))
       return true;
@@ -301,7 +302,7 @@
       if (!relay.is_duplicate && !relay.runs_throughout(a, std::min(b, end_))) return true;
     return false;
   }
-  // Members whose folder went, or who were gone to the end, from then on.
+  // Counts members that lost their folder in the interval or that did not run at the end of the log.
   std::size_t lost_member_count(Time from, Time to) const {
     std::size_t count = 0;
     for (const auto& [name, relay] : relays_) {
@@ -317,8 +318,8 @@
     const auto& lost = relays_.at(relay).lost;
     return std::any_of(lost.begin(), lost.end(), [&](Time at) { return from <= at && at <= to; });
   }
-  // By when a document must have its end: its expiry, or, where a fault met its life, so long after the last
-  // moment at which members were missing, or anything changed.
+  // When a document must have its final answer: at its expiry or, if faults fell into its lifetime, the
+  // recovery time after the last one.
   Time due(const Document& doc) const {
     Time due = doc.expiry;
     for (bool moved = true; moved;) {
@@ -335,7 +336,8 @@
         for (const auto& cut : cuts) missing(cut);
       for (const auto& [name, relay] : relays_) {
         for (const auto& stall : relay.stalled) missing(stall);
-        // One that never comes back: its two copies are enough. With nobody else to end it, nothing is due.
+        // A relay that never returns delays nothing if others hold copies. Without copies nobody else can end
+        // the document, so it is never due.
         for (std::size_t i = 0; i < relay.up.size(); ++i) {
           bool back = i + 1 < relay.up.size();
           if (back || copies() == 0) missing({relay.up[i].to, back ? relay.up[i + 1].from : never});
@@ -347,7 +349,7 @@
 
   void report(const std::string& check, const std::string& summary, const std::set<std::string>& ids,
               Time from, Time to, const std::string& endpoint_or_dest = "") {
-    // One of each kind tells enough, and the first is the one to look at.
+    // Reports only the first violation of each check.
     if (!reported_.insert(check).second) return;
     Violation violation{check, summary, {}};
     static const std::set<std::string> faults{"start", "kill", "stop",    "cont", "folder", "link",
@@ -374,7 +376,7 @@
     return text;
   }
 
-  // ---- the checks
+  // ---- checks
 
   void check_crashes() {
     for (const auto& line : lines_)
@@ -383,7 +385,7 @@
                line.at, line.at);
   }
 
-  // Nothing is sent that nobody handed in.
+  // No relay sends a document that no client submitted.
   void check_unknown() {
     for (const auto& [id, doc] : documents_)
       if (doc.relay.empty() && !doc.calls.empty() &&
@@ -392,7 +394,7 @@
                doc.calls[0].began, doc.calls[0].received_at);
   }
 
-  // Each client hears something while the relay runs.
+  // Each client gets an answer while the relay runs.
   void check_unanswered() {
     for (const auto& [id, doc] : documents_) {
       if (doc.relay.empty() || doc.connection_lost) continue;
@@ -406,15 +408,15 @@
     }
   }
 
-  // One final answer for each document taken on: before its expiry, and nothing after.
+  // Each accepted document gets one final answer before its expiry, and no call after it.
   void check_ends() {
     for (const auto& [id, doc] : documents_) {
       if (doc.relay.empty()) continue;
-      Time first = never;  // a final answer
+      Time first = never;  // time of the first final answer
       for (const auto& call : doc.calls)
         if (call.status == 200 || call.status == 410) first = std::min(first, call.answered);
       for (const auto& notice : doc.notices) first = std::min(first, notice.at);
-      bool stream = to_subscriber(doc);  // its end is that of its deliveries: see versions()
+      bool stream = to_subscriber(doc);  // ended by its deliveries, see check_versions()
       if (doc.answer == "OK" && !stream) {
         bool excused = copies() > 0 ? lost_member_count(doc.submitted_at, end_) > 1
                                     : folder_was_lost(doc.relay, doc.submitted_at, end_) ||
@@ -436,8 +438,8 @@
     for (std::size_t i = 0; i < doc.notices.size(); ++i)
       for (std::size_t j = i + 1; j < doc.notices.size(); ++j) {
         const Notice &one = doc.notices[i], &other = doc.notices[j];
-        // The same word again is told by one that cannot know whether the first was taken: after a restart,
-        // or after a take-over.
+        // The same final status may be reported twice after a restart or takeover, when the relay cannot know
+        // whether the first report arrived.
         bool may = one.status == other.status && had_disturbance(doc.submitted_at, other.at);
         if (copies() == 0 && folder_was_lost(other.relay, doc.submitted_at, other.at)) may = true;
         if (!may)
@@ -473,8 +475,8 @@
     }
   }
 
-  // No effect twice: a binding document is sent again, or given back, only where every call before surely
-  // never ran. Holds under all faults, but where nobody else kept what a lost folder knew.
+  // A non-repeatable document is sent again, or given back to the client, only if every earlier call surely
+  // did not run. Faults are no excuse, unless all copies of the information were lost with folders.
   void check_effects() {
     for (const auto& [id, doc] : documents_) {
       if (doc.relay.empty() || types_[doc.type].repeat != "unsafe") continue;
@@ -499,7 +501,8 @@
     }
   }
 
-  // A numbered one goes again only with its mark, inside its key group and window.
+  // A document with an idempotency key is sent again only with that key and inside the key's scope and
+  // window.
   void check_windows() {
     for (const auto& [id, doc] : documents_) {
       if (doc.relay.empty()) continue;
@@ -528,8 +531,8 @@
     }
   }
 
-  // Nothing to an endpoint that drains or is gone, once its grace after the telling is over. A stalled
-  // process hears when it goes on.
+  // No calls to a draining or removed endpoint once the grace period after the announcement is over. A
+  // suspended process gets the announcement when it resumes.
   void check_drains() {
     auto grace = settings_.number("grace");
     for (const auto& [id, doc] : documents_)
@@ -553,8 +556,8 @@
       }
   }
 
-  // A destination that returns from an outage is not pushed over by those who knew: by a failed call there,
-  // or by word of one who had it.
+  // A destination that returns from an outage is not overloaded by relays that knew of the outage, from a
+  // failed call of their own or from another relay.
   void check_cold_returns() {
     auto multiple = settings_.number("multiple"), start = settings_.number("start"),
          warm = settings_.number("warm"), fall = settings_.number("fall");
@@ -565,15 +568,15 @@
       auto dest = destination_of_[endpoint];
       auto here = std::count_if(destination_of_.begin(), destination_of_.end(),
                                 [&](auto& at) { return at.second == dest; });
-      if (here > 1) continue;  // its other endpoints were up
+      if (here > 1) continue;  // the destination's other endpoints were up
       auto& all = calls[dest];
       std::sort(all.begin(), all.end(),
                 [](const Call* a, const Call* b) { return a->received_at < b->received_at; });
       for (std::size_t i = 1; i < changes.size(); ++i) {
         if (changes[i].second || !changes[i - 1].second) continue;
         Time down = changes[i - 1].first, back = changes[i].first;
-        if (back - down < fall) continue;            // too short to be an outage that all agree on
-        std::map<std::string, Time> informed_since;  // by relay: since when
+        if (back - down < fall) continue;            // too short for all relays to count it as an outage
+        std::map<std::string, Time> informed_since;  // by relay
         for (const Call* call : all)
           if (call->received_at >= down && call->received_at < back) {
             auto failed = call->answered < never && call->status != 200 ? call->answered
@@ -581,8 +584,8 @@
                                                                         : never;
             if (failed < back && !informed_since.count(call->relay)) informed_since[call->relay] = failed;
           }
-        // A refused connection leaves no line of its own: a relay that was handed a message for it early
-        // enough in the outage, and ran on, has tried.
+        // A refused connection is not in the log, so a relay counts as informed if it accepted a document for
+        // this destination early enough in the outage and kept running.
         for (const auto& [id, doc] : documents_) {
           bool tried = doc.dest == dest && doc.submitted_at >= down && doc.submitted_at < back - tried_within;
           if (tried && doc.answer == "OK" && !informed_since.count(doc.relay) &&
@@ -597,7 +600,7 @@
               informed_since[other] = since;
         for (std::size_t last = 0, first = 0; last < all.size(); ++last) {
           Time to = all[last]->received_at;
-          if (to < back || to > back + warm) continue;  // once warm it bears what it always does
+          if (to < back || to > back + warm) continue;  // a warm destination takes its usual load
           auto from = std::max(back, to - fall);
           while (all[first]->received_at < from) ++first;
           auto share_at = [&](Time at) { return start + (1 - start) * std::min(1.0, (at - back) / warm); };
@@ -616,7 +619,8 @@
     }
   }
 
-  // Documents of one key go one at a time, in the order in which one process of one relay took them.
+  // Documents of one key are sent one at a time, in the order in which one process of one relay accepted
+  // them.
   void check_order() {
     std::map<std::string, std::vector<const Document*>> by_key;
     for (const auto& [id, doc] : documents_)
@@ -633,7 +637,7 @@
             if (call.status == 200 || call.status == 410) over = std::min(over, call.answered);
           for (const auto& notice : before.notices) over = std::min(over, notice.at);
           for (const auto& call : after.calls)
-            // The notice of an end comes a little later than the end.
+            // Allows for the delay between a document's end and its notice.
             if (call.relay == before.relay && call.life == before.life &&
                 call.received_at + delivery_slack < over)
               report("order",
@@ -643,8 +647,8 @@
     }
   }
 
-  // A told wait holds to its end: for the relay told, also in its next process where its folder was kept, and
-  // with sharing for all that surely heard of it.
+  // A retry_after wait is honoured to its end by the relay that received it, also after a restart if it kept
+  // its folder, and with sharing by all relays that were surely informed.
   void check_waits() {
     struct ToldWait {
       const Call* call;
@@ -667,7 +671,7 @@
             if (again && (!share() || folder_was_lost(call.relay, refused.answered, call.began) ||
                           disk_was_full(call.relay)))
               continue;
-            // Killed in the moment after the answer: it may not have been written down yet.
+            // A relay killed right after the answer may not have stored the wait yet.
             if (again &&
                 !relays_.at(call.relay).runs_throughout(refused.answered, refused.answered + known_within))
               continue;
@@ -684,7 +688,8 @@
           }
         }
   }
-  // Nor is a connection opened to a destination under a told wait: not for a document, and not ahead of one.
+  // No connection is opened to a destination during its retry_after wait, neither for a document nor in
+  // advance.
   void check_opened_ahead() {
     for (const auto& [id, doc] : documents_)
       for (const auto& refused : doc.calls) {
@@ -708,7 +713,7 @@
   }
   bool disk_was_full(const std::string& relay) const { return !relays_.at(relay).disk_full.empty(); }
 
-  // An endpoint taken out by staff gets nothing from that relay, nor from those that surely heard of it.
+  // An endpoint that operators took offline gets no calls from that relay or from those surely informed.
   void check_offline() {
     for (const auto& [endpoint, orders] : offline_orders_)
       for (std::size_t i = 0; i < orders.size(); ++i) {
@@ -729,7 +734,7 @@
       }
   }
 
-  // Of streams: no subscriber is taken back to an older version of a key that it has had.
+  // No subscriber gets an older version of a key after a newer one.
   void check_versions() {
     std::map<std::pair<std::string, std::string>, std::vector<const Call*>> had;  // by destination and key
     for (const auto& [call, doc] : deliveries_) {
@@ -751,12 +756,13 @@
                      " of key " + place.second + " and then got version " + std::to_string(call->version) +
                      " from " + call->relay,
                  {newest->id, call->id}, newest->received_at, call->received_at, place.first);
-        if ((!newest || call->version > newest->version) && call->status == 200) newest = call;  // it had it
+        // the subscriber accepted it
+        if ((!newest || call->version > newest->version) && call->status == 200) newest = call;
       }
     }
   }
-  // Where the trial ends well after all faults: each subscriber that is listed has the latest of each key,
-  // also one that joined late.
+  // If the trial reached its quiet end, each listed subscriber has the latest version of each key, also one
+  // that joined late.
   void check_convergence() {
     Time quiet = -1;
     for (const auto& line : lines_)
@@ -780,7 +786,7 @@
       Time joined = line.at;
       for (const auto& [place, doc] : latest) {
         const auto& key = place.second;
-        // One that joined after a key's end has nothing to be told of it.
+        // A subscriber that joined after a key's tombstone needs no delivery for it.
         if (!types_[doc->type].subscribers.count(line.field("dest")) ||
             (doc->tombstone && joined > doc->answered_at) || lost_member_count(0, end_) > 1)
           continue;
--- a/src/trial/auditor.h
+++ b/src/trial/auditor.h
@@ -1,6 +1,6 @@
-// Owns the verdict on a trial: it reads the log as text and says which promises were broken, with what was
-// seen. It must share no code with the program under trial nor with the rig, and depends on the standard
-// library only; it knows nothing but the log. docs/fleet-trial.md lists the log's lines and each check.
+// Audits a trial: reads the log as text and reports which guarantees were violated, with the evidence. It
+// shares no code with the relay or the harness, depends on the standard library only, and knows nothing but
+// the log. docs/fleet-trial.md lists the log's lines and each check.
 #pragma once
 
 #include <string>
@@ -9,9 +9,9 @@
 namespace rockcrank::trial {
 
 struct Violation {
-  std::string check;                  // one word, by which planted breaks name it
+  std::string check;                  // name of the check, also that of the injected violation
   std::string summary;                // one line
-  std::vector<std::string> evidence;  // the lines of the log that bear on it, in order
+  std::vector<std::string> evidence;  // relevant lines of the log, in order
 };
 
 // Throws std::runtime_error where the log cannot be read.
--- a/src/trial/cold_returns.cpp
+++ b/src/trial/cold_returns.cpp
@@ -1,4 +1,4 @@
-// What is drawn for a cold return, and when; cold.h says what this owns.
+// Draws the outages, restarts and load of a cold-return trial.
 #include "trial/cold_returns.h"
 
 #include <algorithm>
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr int destinations = 3;
-constexpr Millis rates_known_at = 9000;  // by then each relay knows its own rate
-constexpr Millis watched_after = 8000;   // the last return
+constexpr Millis rates_known_at = 9000;  // each relay knows its own rate by then
+constexpr Millis watched_after = 8000;   // after the last return
 constexpr Millis ends_timeout = 15000;
-constexpr double documents_per_second = 9;  // for one destination, from all relays
+constexpr double documents_per_second = 9;  // to one destination, from all relays together
 const char* const outages[] = {"down", "silent", "500", "shut", "reset"};
 
 class ColdReturns {
@@ -35,7 +35,7 @@
   int below(int count) { return static_cast<int>(between(0, count)); }
   void schedule_action(Millis at, Schedule::Action action) { schedule_.add(at, std::move(action)); }
 
-  // One destination or two fail, for a while that all relays with messages notice.
+  // One or two destinations fail long enough for every relay with documents for them to notice.
   void draw_outages() {
     int failing = 1 + below(2);
     for (int i = 1; i <= failing; ++i) {
@@ -50,7 +50,7 @@
     }
   }
 
-  // One, several or most of the relays are killed or stalled once, in the outage or the return.
+  // One, several or most of the relays are killed or suspended once, during the outage or the return.
   void draw_restarts() {
     double share = between(0, 1) < 0.3 ? 0.03 : between(0.1, 0.8);
     Millis first = rates_known_at + 2000, last = last_return_ + 4000;
@@ -70,7 +70,7 @@
     }
   }
 
-  // Some relays see several times the mean.
+  // The load is skewed: some relays get several times the mean.
   void draw_load() {
     std::lognormal_distribution<double> skew(0, 0.7);
     std::vector<double> weights;
--- a/src/trial/cold_returns.h
+++ b/src/trial/cold_returns.h
@@ -1,6 +1,5 @@
-// Owns the trials of cold returns: a fleet of real processes without a link, destinations that fail in ways
-// drawn from the seed and come back cold, and relays that are killed, stalled or told to end meanwhile. It
-// must never judge: the auditor does.
+// Trials of cold returns: real relay processes without links between them, destinations that fail in randomly
+// drawn ways and return cold, and relays that are killed, suspended or terminated meanwhile.
 #pragma once
 
 #include <string>
@@ -10,7 +9,7 @@
 namespace rockcrank::trial {
 
 void set_up_cold_returns(Setup& setup);
-// Empty: played to its end; else what kept it from being played.
+// Runs the trial. Returns an empty string, or the reason why it could not run to its end.
 std::string play_cold_returns(Harness& harness);
 
 }  // namespace rockcrank::trial
--- a/src/trial/event_loop.cpp
+++ b/src/trial/event_loop.cpp
@@ -1,4 +1,4 @@
-// poll(2) over the trial's sockets; ring.h says what it owns.
+// Implements the event loop with poll(2).
 
 #include "trial/event_loop.h"
 
@@ -17,7 +17,7 @@
 namespace rockcrank::trial {
 namespace {
 
-constexpr std::size_t max_unsent_bytes = 4 << 20;  // a proxy that is told to hold bytes holds no more
+constexpr std::size_t max_unsent_bytes = 4 << 20;  // limits what a proxy buffers while a link is cut
 
 sockaddr_in to_sockaddr(const Address& address) {
   sockaddr_in at{};
@@ -113,7 +113,7 @@
 void EventLoop::write(Socket& sock) {
   while (!sock.out.empty()) {
     auto count = ::send(sock.fd, sock.out.data(), sock.out.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (count <= 0) break;  // an end is seen by reading
+    if (count <= 0) break;  // errors and end of stream are handled by read()
     sock.out.erase(0, static_cast<std::size_t>(count));
   }
   if (sock.out.size() > max_unsent_bytes || (sock.out.empty() && sock.closes_when_sent)) close(sock);
@@ -127,7 +127,7 @@
   if (sock.in.empty()) sock.first_byte_at = now_;
   sock.in.append(bytes, static_cast<std::size_t>(count));
   if (sock.on_data) {
-    auto callback = sock.on_data;  // it may close the socket, and be freed with it
+    auto callback = sock.on_data;  // copied, since the callback may close and free the socket
     callback();
   }
 }
--- a/src/trial/event_loop.h
+++ b/src/trial/event_loop.h
@@ -1,5 +1,5 @@
-// Owns the trial's own sockets and timers: one poll(2), one thread. It must never know what the bytes mean,
-// and shares nothing with the program under trial.
+// A single-threaded poll(2) event loop for the trial's sockets and timers. It does not interpret the bytes
+// and shares no code with the relay.
 #pragma once
 
 #include <netinet/in.h>
@@ -22,13 +22,14 @@
   std::string text() const { return host + ":" + std::to_string(port); }
 };
 
-// One socket. Callbacks may close any socket, this one included; it lives to the end of the round.
+// A socket with its buffers and callbacks. A callback may close any socket, also its own; a closed socket
+// stays allocated until the current iteration ends.
 struct Socket {
   std::uint64_t id = 0;
   int fd = -1;
   bool listening = false, connecting = false, paused = false;
   bool closes_when_sent = false;
-  Millis first_byte_at = -1;  // when the first byte in `in` came
+  Millis first_byte_at = -1;  // when the first byte in `in` arrived
   std::string in, out;
   std::function<void(Socket& accepted)> on_accepted;
   std::function<void()> on_connected, on_data, on_closed;
@@ -41,10 +42,10 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  Millis now() const { return now_; }  // monotonic, from this object's beginning; as of this round
+  Millis now() const { return now_; }  // monotonic time since construction, as of this iteration
   Socket* find(std::uint64_t id);
   Socket* listen(const Address& address);   // throws std::runtime_error
-  Socket* connect(const Address& address);  // on_end is told later where that fails
+  Socket* connect(const Address& address);  // a failure is reported later through on_closed
   void send(Socket& sock, std::string_view bytes);
   void close(Socket& sock, bool reset = false);
   void schedule(Millis when, std::function<void()> callback);
--- a/src/trial/harness.cpp
+++ b/src/trial/harness.cpp
@@ -1,4 +1,4 @@
-// The stand-ins, processes and proxies; rig.h says what it owns.
+// Runs the processes, the simulated clients, endpoints and agents, and the proxies.
 
 #include "trial/harness.h"
 
@@ -26,7 +26,7 @@
 namespace fs = std::filesystem;
 
 constexpr Millis longest_poll = 10;
-constexpr Millis start_timeout = 8000;  // a process under load of other tests
+constexpr Millis start_timeout = 8000;  // allows for other tests running at the same time
 
 std::string option(const Options& words, const std::string& name, const std::string& absent) {
   auto found = words.find(name);
@@ -37,7 +37,7 @@
   return found == words.end() ? absent : std::stod(found->second);
 }
 
-// A word of a document's body, which begins "key=K v=N ".
+// Returns a field of a document's body, which begins "key=K v=N ".
 std::string body_field(const std::string& body, const std::string& name) {
   auto from = body.find(name + "=");
   if (from != 0 && (from == std::string::npos || body[from - 1] != ' ')) return "";
@@ -59,7 +59,7 @@
   return out.str();
 }
 
-// One whole request from the front of what came; false: not yet whole.
+// Takes one complete request from the front of the input. Returns false if it is incomplete.
 bool take_request(std::string& in, std::string& head, std::string& body) {
   auto end = in.find("\r\n\r\n");
   if (end == std::string::npos) return false;
@@ -98,7 +98,7 @@
 }
 
 Harness::Harness(Setup setup) : setup_(std::move(setup)) {
-  // An address of this process's own, so that trials side by side never meet.
+  // Uses a loopback address derived from the process id, so that parallel trials don't collide.
   auto own = static_cast<unsigned>(getpid());
   host_ = "127." + std::to_string(64 + (own >> 16 & 63)) + "." + std::to_string(own >> 8 & 255) + "." +
           std::to_string(own & 255);
@@ -333,7 +333,7 @@
   record("folder", {{"r", id}, {"state", "emptied"}});
 }
 void Harness::save_folder(const std::string& id) {
-  std::error_code ignored;  // files come and go under a process that runs
+  std::error_code ignored;  // files may come and go while the process runs
   fs::remove_all(folder(id) + "/image", ignored);
   fs::create_directories(folder(id) + "/image");
   for (const auto& entry : fs::recursive_directory_iterator(folder(id) + "/state", ignored)) {
@@ -351,7 +351,7 @@
   record("folder", {{"r", id}, {"state", "older"}});
 }
 
-// No file of the folder may grow any more, or may again.
+// Prevents any file in the folder from growing, or allows it again.
 void Harness::set_disk_full(const std::string& id, bool full) {
   Relay& relay = relays_.at(id);
   if (relay.pid <= 0) return;
@@ -541,7 +541,7 @@
                  behaviour == "shut";
   if (behaviour == "down") {
     close_endpoint(endpoint);
-    if (fresh) open_endpoint(endpoint), close_endpoint(endpoint);  // it has ports all the same
+    if (fresh) open_endpoint(endpoint), close_endpoint(endpoint);  // reserves its ports
   } else {
     open_endpoint(endpoint);
   }
@@ -622,7 +622,7 @@
     Socket* here = event_loop_.find(socket_id);
     for (const auto& item : items) {
       if (!here) {
-        record("broke", {{"e", name}, {"r", relay}, {"id", item.id}});  // the caller has hung up
+        record("broke", {{"e", name}, {"r", relay}, {"id", item.id}});  // the caller has disconnected
         continue;
       }
       std::vector<std::pair<std::string, std::string>> fields{
@@ -725,7 +725,7 @@
   if (what == "junk")
     for (unsigned i = 0; i < 200000; ++i) bytes += static_cast<char>((i + 77) * 2654435761u >> 13);
   else if (what == "large") bytes = std::string(8, '\xff') + std::string(1 << 20, 'x');
-  else bytes = std::string(3, '\0');  // half of a length, and then nothing
+  else bytes = std::string(3, '\0');  // half of a length prefix and then nothing
   for (int i = 0; i < (what == "half" ? 40 : 3); ++i) {
     Socket* sock = event_loop_.connect({host_, relays_.at(to).members});
     sock->on_connected = [this, id = sock->id, bytes] {
@@ -734,7 +734,7 @@
   }
 }
 
-// ---- clients and staff
+// ---- clients and operators
 
 void Harness::handle_client_data(const std::string& relay, const std::string& name) {
   Client& client = clients_[relay][name];
--- a/src/trial/injected_violations.cpp
+++ b/src/trial/injected_violations.cpp
@@ -1,4 +1,4 @@
-// One falsification each, named as the rule that must see it; plants.h says what this owns.
+// Implements one log mutation for each check, named as the check that must report it.
 
 #include "trial/injected_violations.h"
 
@@ -29,7 +29,7 @@
   log.insert(position, std::move(entry));
 }
 
-// A call of a document of its own, so that nothing else is broken by it.
+// Inserts a call of a separate document, so that no other check fails because of it.
 void insert_stray_call(Log& log, LogEntry call, double at, const std::string& id = "stray") {
   LogEntry hand{0,
                 "hand",
@@ -48,7 +48,7 @@
   insert(log, std::move(call), at);
 }
 
-// The first document of a type that was taken on, called and answered, as its call and answer.
+// Finds the first accepted, called and answered document of a type.
 struct AnsweredCall {
   LogEntry call, answer;
 };
@@ -81,7 +81,7 @@
     return (e.field("r") == refusal->field("r")) == same && e.at > refusal->at + number(*refusal, "wait");
   });
   if (!call) return false;
-  // Late in the wait, as news needs its time.
+  // Late in the wait, so that the information has had time to spread.
   insert_stray_call(log, *call, refusal->at + number(*refusal, "wait") - 300);
   return true;
 }
@@ -144,7 +144,7 @@
          auto type = first(log, "type", {{"name", "numbered"}});
          auto found = find_answered(log, "numbered");
          if (!type || !found) return false;
-         // The first may have run, so it goes again: too late.
+         // The first call may have run, so sending it again outside the window is a violation.
          for (auto& entry : log)
            if (entry.matches("answer", {{"id", found->call.field("id")}})) entry.set("status", "500");
          auto at = found->answer.at + number(*type, "window") + 300;
@@ -249,7 +249,8 @@
   return all;
 }
 
-// What a joiner, or a subscriber that was there all along, had of the latest of one key.
+// Removes a subscriber's deliveries of the latest version of one key. late: of a subscriber that joined after
+// the document was submitted.
 bool forget_delivery(Log& log, bool late) {
   for (const auto& subscriber : Log(log)) {
     if (subscriber.kind != "subscriber") continue;
--- a/src/trial/injected_violations.h
+++ b/src/trial/injected_violations.h
@@ -1,5 +1,5 @@
-// Owns the planted breaks: each makes the stand-ins' log say one thing that must not be, as a broken program
-// would have made it say, to prove that the auditor sees it. It must never be used but where asked for.
+// Mutates a trial's log so that it shows a violation, as a faulty relay would have caused it, to prove that
+// the auditor detects it. Used only where a violation is asked for.
 #pragma once
 
 #include <string>
@@ -10,7 +10,8 @@
 namespace rockcrank::trial {
 
 std::vector<std::string> violation_names();
-// False: the log holds nothing in which the break could be planted. Throws std::out_of_range: no such plant.
+// Returns false if the log holds nothing that can be mutated in this way. Throws std::out_of_range for an
+// unknown name.
 bool inject_violation(const std::string& name, Log& log);
 
 }  // namespace rockcrank::trial
--- a/src/trial/log.h
+++ b/src/trial/log.h
@@ -1,6 +1,5 @@
-// Owns the trial's log: what the stand-ins saw and did, in the order of time, as lines of plain text. The rig
-// writes it, scenes wait for what it holds, and the auditor reads its text (with a parser of its own).
-// Nothing here may judge.
+// The trial's log: what the harness saw and did, in order of time, as lines of text. Scenes wait for its
+// entries; the auditor reads the text with a parser of its own.
 #pragma once
 
 #include <cstdio>
@@ -14,9 +13,9 @@
 namespace rockcrank::trial {
 
 struct LogEntry {
-  double at = 0;  // ms since the trial began
+  double at = 0;  // ms since the trial started
   std::string kind;
-  std::vector<std::pair<std::string, std::string>> fields;  // no spaces in either
+  std::vector<std::pair<std::string, std::string>> fields;  // neither may contain spaces
 
   std::string field(const std::string& name) const {
     for (const auto& [key, value] : fields)
@@ -51,7 +50,7 @@
   return out;
 }
 
-// The other way round, for a log that was kept.
+// Parses a stored log.
 inline Log parse_log(const std::string& text) {
   Log log;
   std::istringstream lines(text);
--- a/src/trial/main.cpp
+++ b/src/trial/main.cpp
@@ -1,5 +1,5 @@
-// rockcrank_trial: real processes of the program under drawn or told faults, and a verdict. It holds no logic
-// but that of its command line; docs/fleet-trial.md says how to use it.
+// Command line of rockcrank_trial, which runs real relay processes under random or scripted faults and audits
+// the log. docs/fleet-trial.md describes its use.
 #include <cstdio>
 #include <cxxopts.hpp>
 #include <exception>
--- a/src/trial/process_faults.cpp
+++ b/src/trial/process_faults.cpp
@@ -1,4 +1,4 @@
-// What is drawn for one start of a process; process_faults.h says what this owns.
+// Draws the failing system calls and the clock offset for one start of a process.
 #include "trial/process_faults.h"
 
 #include <array>
@@ -11,11 +11,11 @@
 struct FailingCall {
   const char* function;
   const char* error;
-  int min_interval;  // one of so many calls fails, at the most
+  int min_interval;  // one in this many calls fails, at most
   int max_interval;
 };
 
-// Errors that pass, as Linux documents them for each call.
+// Transient errors that Linux documents for each call.
 constexpr FailingCall failing_calls[] = {{"accept4", "ECONNABORTED", 4, 40},
                                          {"accept4", "ENFILE", 8, 60},
                                          {"socket", "ENFILE", 40, 200},
--- a/src/trial/process_faults.h
+++ b/src/trial/process_faults.h
@@ -1,5 +1,5 @@
-// Owns which system calls of a process under trial fail, and by how much its wall clock is ahead: drawn anew
-// for each start. The library of the tests that makes them fail is tests/crossings/halt.cpp.
+// Draws, for each start of a relay process, which system calls fail and how far its wall clock is off.
+// tests/crossings/halt.cpp builds the library that applies them.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace rockcrank::trial {
 
-// The environment in which the process is started; empty where it runs without faults.
+// Returns environment variables for the process; empty if it runs without faults.
 std::map<std::string, std::string> draw_process_faults(const std::string& library, std::uint64_t seed,
                                                        const std::string& relay, int life);
 
--- a/src/trial/random_trial.cpp
+++ b/src/trial/random_trial.cpp
@@ -1,4 +1,4 @@
-// What is drawn, and when; draw.h says what this owns.
+// Draws the load and the faults of a random trial and runs it.
 
 #include "trial/random_trial.h"
 
@@ -18,7 +18,7 @@
 constexpr Millis mean_document_gap = 20;
 constexpr Millis ends_timeout = 20000, convergence_timeout = 12000;
 constexpr double faults_a_second = 1.6;
-constexpr int destinations = 5;  // 1 has two endpoints; 5 bundles
+constexpr int destinations = 5;  // destination 1 has two endpoints; destination 5 takes batches
 const std::vector<int> subscribers{21, 22, 23};
 
 class RandomTrial {
@@ -57,7 +57,7 @@
                     {"c", "c" + std::to_string(below(3))}};
       if (words["type"] == "ordered") words["key"] = "a" + std::to_string(below(4)), words["c"] = "c0";
       if (streams && below(3) == 0) {
-        // One writer for each key, so that its versions are in the order in which they were handed in.
+        // Each key has one writer, so that its versions are accepted in the order of submission.
         auto key = "b" + std::to_string(below(8));
         words = {{"type", "status"},
                  {"for", below(2) ? "21" : "2"},
@@ -73,7 +73,7 @@
     }
   }
 
-  // A fault and what ends it, from `from` to `to`.
+  // Adds a fault from `from` to `to`.
   void add_fault(Millis from, Millis to, std::function<void(Harness&)> begin,
                  std::function<void(Harness&)> end) {
     schedule_action(from, std::move(begin));
@@ -82,7 +82,7 @@
 
   void draw_faults() {
     auto count = static_cast<int>(faults_a_second * healed_at() / 1000) + 1;
-    // Folders of one member only are lost, so that no more than one holder of three is.
+    // Only one member loses its folder, so at most one of the three holders of a document does.
     auto victim = any_relay();
     for (int i = 0; i < count; ++i) {
       auto from = between(300, healed_at() - 300), to = from + between(200, 2500);
@@ -172,7 +172,8 @@
     schedule_action(from, [=](Harness& harness) { harness.terminate(relay); });
     schedule_action(to + 4000, [=](Harness& harness) { harness.start_without_waiting(relay, {}); });
   }
-  // A member that hears all and is heard by none, or neither.
+  // Isolates a member: it receives but nobody receives from it or, if it does not hear either, both ways are
+  // cut.
   void add_isolation(Millis from, Millis to, const std::string& relay, bool hears) {
     auto each = [names = names_, relay, hears](Harness& harness, LinkState way) {
       for (const auto& other : names) {
@@ -227,7 +228,7 @@
     harness.set_endpoint("e" + late, {{"for", late}});
     harness.record("subscriber", {{"dest", late}});
   });
-  // All is well again: whoever is not there comes up, and what is owed goes.
+  // After healing, all relays are started again and the remaining documents are delivered.
   harness.heal_links();
   harness.record("healed", {});
   for (const auto& relay : harness.relay_names()) harness.resume(relay);
@@ -253,7 +254,7 @@
     });
     harness.record("quiet", {});
   }
-  // Nothing more may come of what has ended.
+  // Leaves time for calls after a document's end to show up.
   harness.run_until(700, [] { return false; });
   return {};
 }
--- a/src/trial/random_trial.h
+++ b/src/trial/random_trial.h
@@ -1,5 +1,5 @@
-// Owns the trials that are drawn: a load, faults of all kinds at drawn moments, several at once, then healing
-// and a quiet end. All is drawn from the seed before the trial begins. It must never judge.
+// Random trials: a load and faults of all kinds at random times, several at once, then healing and a quiet
+// end. Everything is drawn from the seed before the trial begins.
 #pragma once
 
 #include <string>
@@ -8,9 +8,10 @@
 
 namespace rockcrank::trial {
 
-// The world of a drawn trial. part: fleet, documents, warm, latest, or empty for all that the program has.
+// Configures a random trial. part: fleet, documents, warm, latest, or empty for all.
 void set_up_random_trial(Setup& setup, const std::string& part);
-// Empty, or what could not be played, as a process that does not come up.
+// Runs the trial. Returns an empty string, or the reason why it could not run, such as a process that does
+// not start.
 std::string play_random_trial(Harness& harness, const std::string& part, double seconds);
 
 }  // namespace rockcrank::trial
--- a/src/trial/scene.cpp
+++ b/src/trial/scene.cpp
@@ -1,4 +1,4 @@
-// The words of a scene, one by one; scene.h says what this owns.
+// Parses and runs the lines of a scene.
 
 #include "trial/scene.h"
 
@@ -10,14 +10,15 @@
 namespace rockcrank::trial {
 namespace {
 
-constexpr Millis default_timeout = 8000;  // for a condition; longer than any take-over with all cores busy
+// for a condition; longer than any takeover takes with all cores busy
+constexpr Millis default_timeout = 8000;
 
 double number(const Options& options, const std::string& name, double fallback) {
   auto found = options.find(name);
   return found == options.end() ? fallback : std::stod(found->second);
 }
 
-// What a line waits for in the log: all words but those that say how it waits.
+// The fields that log entries must match: all options except those that say how to wait.
 Options condition_fields(Options options) {
   for (const char* own : {"within", "least", "for_ms", "most"}) options.erase(own);
   return options;
@@ -112,7 +113,7 @@
                : all;
   };
   auto within = number(options, "within", default_timeout);
-  // "n1->n2": bytes that way only; "n1 n2": both ways; "n1": between it and all others.
+  // "n1->n2" is one direction, "n1 n2" both directions, "n1" all links of n1.
   auto directions = [&](std::size_t at) {
     std::vector<std::pair<std::string, std::string>> found;
     auto arrow = positional.at(at).find("->");
@@ -145,7 +146,7 @@
       : verb == "cont" ? harness.resume(relay)
                        : harness.terminate(relay);
   } else if (verb == "kill-caller") {
-    // Whoever made the last call.
+    // Kills the relay that made the last call.
     auto call = std::find_if(harness.log().rbegin(), harness.log().rend(),
                              [](auto& one) { return one.kind == "call"; });
     if (call == harness.log().rend()) return "nobody has called";
@@ -188,7 +189,7 @@
     harness.schedule_load(positional.at(1), positional.at(2), options,
                           static_cast<int>(number(options, "times", 100)), number(options, "every", 20));
   } else if (verb == "versions") {
-    // Documents of a stream: `keys` keys, each in `times` versions from `first` on.
+    // Submits documents of a stream: `keys` keys, each in `times` versions starting at `first`.
     auto first = static_cast<int>(number(options, "first", 1)),
          times = static_cast<int>(number(options, "times", 1));
     for (int version = first; version < first + times; ++version)
@@ -217,7 +218,7 @@
                            [&] { return harness.count_entries(positional.at(1), wanted, mark) >= least; }))
       return "seen " + std::to_string(harness.count_entries(positional.at(1), wanted, mark)) + " times";
   } else if (verb == "none") {
-    // What must not come is given the whole time to come.
+    // Waits the full time, to see that no matching entry appears.
     auto wanted = condition_fields(options);
     auto most = static_cast<std::size_t>(number(options, "most", 0));
     harness.run_until(number(options, "for_ms", 0),
--- a/src/trial/scene.h
+++ b/src/trial/scene.h
@@ -1,5 +1,5 @@
-// Owns the notation of scenes (tests/trials/*.trial; docs/fleet-trial.md has the words) and plays one on a
-// rig. A scene waits for conditions of the log, never for a time to pass but where nothing must come in it.
+// Parses a scene (tests/trials/*.trial; docs/fleet-trial.md lists its words) and runs it on a harness. A
+// scene waits for conditions of the log; it waits for a fixed time only to show that nothing happens in it.
 #pragma once
 
 #include <string>
@@ -12,9 +12,9 @@
 class Scene {
  public:
   explicit Scene(const std::string& path);  // throws std::runtime_error with file and line
-  // What the lines before the first event tell of the world.
+  // Applies the configuration lines, which precede the first event.
   void set_up(Setup& setup) const;
-  // Empty: all that it waits for came. Else the line and what was seen instead.
+  // Returns an empty string, or the failed line and what was seen instead.
   std::string play(Harness& harness) const;
 
  private:
--- a/src/trial/schedule.cpp
+++ b/src/trial/schedule.cpp
@@ -1,4 +1,4 @@
-// The order of a trial's actions; timetable.h says what this owns.
+// Runs timed actions in the order of time.
 #include "trial/schedule.h"
 
 #include <algorithm>
--- a/src/trial/schedule.h
+++ b/src/trial/schedule.h
@@ -1,5 +1,4 @@
-// Owns a list of what is done to the world under trial and when, and carries it out in the order of time. It
-// must never draw nor judge.
+// A list of timed actions on the harness.
 #pragma once
 
 #include <functional>
@@ -14,7 +13,7 @@
   using Action = std::function<void(Harness&)>;
 
   void add(Millis at, Action action);
-  // From now on. Actions of one moment keep the order in which they were added.
+  // Runs the actions, with times counted from now. Actions at the same time keep the order of insertion.
   void play(Harness& harness, const std::function<void(Millis at)>& after_each = {});
 
  private:
