--- a/src/bench/fleet_bench.cpp
+++ b/src/bench/fleet_bench.cpp
@@ -133,7 +133,7 @@
                           {"copies, +OK at once", true, true},
                           {"copies, +OK waits for one", true, true, true}};
   if (!all.previous.empty())
-    modes.insert(modes.begin(), {"before the fleet's part", false, false, false, true});
+    modes.insert(modes.begin(), {"without fleet features", false, false, false, true});
   std::map<std::string, std::vector<AcceptedRun>> runs;
   for (int round = 0; round < all.rounds; ++round)
     for (const auto& mode : modes) {
@@ -149,7 +149,7 @@
                    last.rate, last.cost, last.p50, last.p99, last.busy);
     }
   std::printf(
-      "\n| part | documents a second | of off in the same round | +OK p50 ms | +OK p99 ms | processor a "
+      "\n| part | documents a second | share of off in the same round | +OK p50 ms | +OK p99 ms | CPU time a "
       "document, us | -BUSY |\n| --- | --- | --- | --- | --- | --- | --- |\n");
   for (const auto& mode : modes) {
     auto of = [&](double AcceptedRun::*what) {
@@ -192,9 +192,9 @@
     harness.submit(informed_relay, id, {{"for", std::to_string(i)}, {"left", "600"}});
     if (!harness.run_until(3000, [&] { return harness.count_entries("answer", {{"id", id}}, from) > 0; }))
       throw std::runtime_error("no call of " + id);
-    Millis told = 0;
+    Millis answered_at = 0;
     for (auto at = from; at < harness.log().size(); ++at)
-      if (harness.log()[at].matches("answer", {{"id", id}})) told = harness.log()[at].at;
+      if (harness.log()[at].matches("answer", {{"id", id}})) answered_at = harness.log()[at].at;
     auto all_know = [&] {
       return std::all_of(names.begin(), names.end(), [&](const auto& name) {
         return name == informed_relay ||
@@ -203,8 +203,8 @@
     };
     auto end = harness.now() + 3000;
     while (!all_know() && harness.now() < end) pause(harness, 0.5);
-    if (harness.now() >= end) std::fprintf(stderr, "wait %d is not known everywhere after 3 s\n", i);
-    known.push_back(harness.now() - told);
+    if (harness.now() >= end) std::fprintf(stderr, "wait %d is not known to all relays after 3 s\n", i);
+    known.push_back(harness.now() - answered_at);
     pause(harness, 120);
   }
   return known;
@@ -212,7 +212,7 @@
 
 void measure_waits(const Arguments& all) {
   std::printf(
-      "\n| one crossing | plays | p50 ms | p99 ms | least / middle / greatest ms | aim: p99 under |\n"
+      "\n| link delay | runs | p50 ms | p99 ms | min / median / max ms | target: p99 under |\n"
       "| --- | --- | --- | --- | --- | --- |\n");
   for (Millis link_delay : {0.0, 10.0}) {
     auto known = run_waits(all, link_delay, 40);
@@ -248,13 +248,14 @@
   bool all_ended = harness.run_until(19000, [&] { return harness.documents_without_end().empty(); });
   run.took = harness.now() - killed, run.left = harness.documents_without_end().size();
   if (!all_ended)
-    std::fprintf(stderr, "%zu of %zu documents have no end\n", run.left, run.unfinished_at_kill);
+    std::fprintf(stderr, "%zu of %zu documents have no final answer\n", run.left, run.unfinished_at_kill);
   return run;
 }
 
 void measure_kill(const Arguments& all) {
   std::printf(
-      "\n| lease | plays | documents owed at the kill | to the last final answer, ms | without an end |\n"
+      "\n| lease | runs | documents unfinished at the kill | time to the last final answer, ms | without a "
+      "final answer |\n"
       "| --- | --- | --- | --- | --- |\n");
   std::map<std::string, std::vector<KillRun>> runs;
   for (int round = 0; round < all.rounds; ++round)
@@ -363,12 +364,13 @@
     for (bool warmed : {false, true}) {
       runs[warmed].push_back(run_replaced(all, warmed, static_cast<unsigned>(round) + 1));
       const auto& last = runs[warmed].back();
-      std::fprintf(stderr, "%s: met %.0f, steady after %.0f ms, wasted %.0f of %.0f, refused %.0f\n",
+      std::fprintf(stderr, "%s: handshakes %.0f, steady after %.0f ms, wasted %.0f of %.0f, refused %.0f\n",
                    warmed ? "warmed" : "cold", last.handshakes_met, last.steady_after, last.wasted,
                    last.opened, last.refused);
     }
   std::printf(
-      "\n| replacement | handshakes met by documents in its first %.0f s | steady after, ms | connections | "
+      "\n| replacement | documents that waited for a handshake in its first %.0f s | steady after, ms | "
+      "connections | "
       "never used | calls refused |\n| --- | --- | --- | --- | --- | --- |\n",
       observed / 1000);
   for (auto& [warmed, own] : runs) {
@@ -385,18 +387,20 @@
 }
 
 Arguments read_arguments(int argc, char** argv, double& pace) {
-  cxxopts::Options options("rockcrank_fleet_bench", "figures of the fleet's parts on real processes");
-  options.add_options()("part", "taken, waits, kill or replaced; all if left out",
-                        cxxopts::value<std::string>())("rounds", "paired plays, 1 to 100",
+  cxxopts::Options options("rockcrank_fleet_bench", "Measures the fleet's features with real processes.");
+  options.add_options()("part", "taken, waits, kill or replaced; default: all",
+                        cxxopts::value<std::string>())("rounds", "interleaved runs, 1 to 100",
                                                        cxxopts::value<int>()->default_value("3"))(
-      "seconds", "of each load of `taken`, 0.2 to 60", cxxopts::value<double>()->default_value("1.2"))(
-      "pace", "documents a second to each relay in `taken`", cxxopts::value<double>()->default_value("500"))(
-      "program", "path of rockcrank; else beside this program", cxxopts::value<std::string>())(
-      "old", "another rockcrank, measured without a fleet file beside", cxxopts::value<std::string>())(
-      "h,help", "this");
+      "seconds", "duration of each load in `taken`, 0.2 to 60",
+      cxxopts::value<double>()->default_value("1.2"))("pace", "documents a second to each relay in `taken`",
+                                                      cxxopts::value<double>()->default_value("500"))(
+      "program", "path of rockcrank; default: beside this program", cxxopts::value<std::string>())(
+      "old", "another rockcrank to compare with, run without a fleet file", cxxopts::value<std::string>())(
+      "h,help", "print this help");
   auto given = options.parse(argc, argv);
   if (given.count("help")) std::fputs(options.help().c_str(), stdout), std::exit(exit_done);
-  if (!given.unmatched().empty()) throw std::runtime_error("what is '" + given.unmatched().front() + "'?");
+  if (!given.unmatched().empty())
+    throw std::runtime_error("unexpected argument '" + given.unmatched().front() + "'");
   Arguments all;
   if (given.count("part")) all.part = given["part"].as<std::string>();
   if (given.count("program")) all.program = given["program"].as<std::string>();
@@ -404,12 +408,12 @@
   all.rounds = given["rounds"].as<int>(), all.seconds = given["seconds"].as<double>();
   pace = given["pace"].as<double>();
   auto wrong = [](const std::string& what) { throw std::runtime_error(what); };
-  if (all.rounds < 1 || all.rounds > 100) wrong("--rounds is from 1 to 100");
-  if (!(all.seconds >= 0.2 && all.seconds <= 60)) wrong("--seconds is from 0.2 to 60");
-  if (!(pace >= 1 && pace <= 20000)) wrong("--pace is from 1 to 20000");
+  if (all.rounds < 1 || all.rounds > 100) wrong("--rounds must be from 1 to 100");
+  if (!(all.seconds >= 0.2 && all.seconds <= 60)) wrong("--seconds must be from 0.2 to 60");
+  if (!(pace >= 1 && pace <= 20000)) wrong("--pace must be from 1 to 20000");
   if (!all.part.empty() && all.part != "taken" && all.part != "waits" && all.part != "kill" &&
       all.part != "replaced")
-    wrong("--part is taken, waits, kill or replaced, not '" + all.part + "'");
+    wrong("--part must be taken, waits, kill or replaced, not '" + all.part + "'");
   if (all.program.empty())
     for (const char* place : {"rockcrank", "../rockcrank"}) {
       auto beside = std::filesystem::read_symlink("/proc/self/exe").parent_path() / place;
@@ -417,7 +421,7 @@
     }
   for (const auto& program : {all.program, all.previous.empty() ? all.program : all.previous})
     if (!std::filesystem::is_regular_file(program))
-      wrong("no program at '" + program + "'; --program PATH tells where rockcrank is");
+      wrong("no program at '" + program + "'; give the path of rockcrank with --program PATH");
   return all;
 }
 
--- a/src/trial/auditor.cpp
+++ b/src/trial/auditor.cpp
@@ -121,10 +121,10 @@
       Line line;
       std::istringstream words(text);
       line.text = text;
-      if (!(words >> line.at >> line.kind)) throw std::runtime_error("the log cannot be read: " + text);
+      if (!(words >> line.at >> line.kind)) throw std::runtime_error("cannot parse the log line: " + text);
       for (std::string word; words >> word;) {
         auto equals = word.find('=');
-        if (equals == std::string::npos) throw std::runtime_error("the log cannot be read: " + text);
+        if (equals == std::string::npos) throw std::runtime_error("cannot parse the log line: " + text);
         line.fields[word.substr(0, equals)] = word.substr(equals + 1);
       }
       take(line);
@@ -381,8 +381,8 @@
   void check_crashes() {
     for (const auto& line : lines_)
       if (line.kind == "exit" && (line.field("asked") != "1" || line.field("code") != "0"))
-        report("crash", line.field("r") + " ended by itself, or badly, with " + line.field("code"), {},
-               line.at, line.at);
+        report("crash", line.field("r") + " exited unexpectedly or with an error, with " + line.field("code"),
+               {}, line.at, line.at);
   }
 
   // No relay sends a document that no client submitted.
@@ -390,7 +390,7 @@
     for (const auto& [id, doc] : documents_)
       if (doc.relay.empty() && !doc.calls.empty() &&
           std::none_of(deliveries_.begin(), deliveries_.end(), [&](auto& one) { return one.call->id == id; }))
-        report("unknown", doc.calls[0].relay + " sent " + id + ", which nobody handed in", {id},
+        report("unknown", doc.calls[0].relay + " sent " + id + ", which no client submitted", {id},
                doc.calls[0].began, doc.calls[0].received_at);
   }
 
@@ -402,8 +402,8 @@
       if (doc.answered_at <= by || end_ < by || !relays_.at(doc.relay).runs_throughout(doc.submitted_at, by))
         continue;
       report("unanswered",
-             "the client that handed " + id + " to " + doc.relay + " heard nothing in " + ms(client_timeout) +
-                 " ms",
+             "the client that submitted " + id + " to " + doc.relay + " got no answer within " +
+                 ms(client_timeout) + " ms",
              {id}, doc.submitted_at, by);
     }
   }
@@ -423,7 +423,7 @@
                                           (relays_.at(doc.relay).up.back().to < end_);
         auto due_by = due(doc) + answer_slack;
         if (!excused && first == never && end_ > due_by)
-          report("lost", id + " was taken on by " + doc.relay + " and has no final answer", {id},
+          report("lost", id + " was accepted by " + doc.relay + " and has no final answer", {id},
                  doc.submitted_at, due_by);
         else if (!excused && first < never && first > due_by)
           report("late", id + " had its final answer " + ms(first - doc.expiry) + " ms after its expiry",
@@ -444,7 +444,7 @@
         if (copies() == 0 && folder_was_lost(other.relay, doc.submitted_at, other.at)) may = true;
         if (!may)
           report("two-ends",
-                 id + " was told as " + one.status + " by " + one.relay + ", then as " + other.status +
+                 id + " was reported as " + one.status + " by " + one.relay + " and then as " + other.status +
                      " by " + other.relay,
                  {id}, doc.submitted_at, other.at);
       }
@@ -469,7 +469,7 @@
       for (const auto& notice : doc.notices)
         if (notice.at > one.answered + read_within && !had_disturbance(doc.submitted_at, notice.at))
           report("two-ends",
-                 id + " was answered to " + one.relay + " and then told as " + notice.status + " by " +
+                 id + " was answered to " + one.relay + " and then reported as " + notice.status + " by " +
                      notice.relay,
                  {id}, doc.submitted_at, notice.at);
     }
@@ -488,14 +488,14 @@
         for (const auto& other : doc.calls)
           if (other.received_at > one.received_at)
             report("effect-twice",
-                   "binding " + id + " may have run in " + one.relay + "'s call and was sent again by " +
-                       other.relay,
+                   "non-repeatable " + id + " may have run in " + one.relay +
+                       "'s call and was sent again by " + other.relay,
                    {id}, doc.submitted_at, other.received_at);
         for (const auto& notice : doc.notices)
           if (notice.status == "deferred" && notice.at > one.received_at)
             report("effect-twice",
-                   "binding " + id + " may have run in " + one.relay +
-                       "'s call and was given back to be handed in again by " + notice.relay,
+                   "non-repeatable " + id + " may have run in " + one.relay +
+                       "'s call and was given back for resubmission by " + notice.relay,
                    {id}, doc.submitted_at, notice.at);
       }
     }
@@ -510,7 +510,8 @@
       for (const auto& call : doc.calls)
         if (call.idempotency_key != doc.idempotency_key)
           report("mark",
-                 id + " went with the mark '" + call.idempotency_key + "', not '" + doc.idempotency_key + "'",
+                 id + " was sent with the idempotency key '" + call.idempotency_key + "', not '" +
+                     doc.idempotency_key + "'",
                  {id}, doc.submitted_at, call.received_at);
       if (type.repeat != "keyed") continue;
       bool excused = copies() > 0 ? lost_member_count(doc.submitted_at, end_) > 1
@@ -520,11 +521,11 @@
       for (const auto& call : doc.calls) {
         if (risky && call.began > risky->began + type.window + delivery_slack)
           report("window",
-                 "numbered " + id + " was sent again " + ms(call.began - risky->began) +
+                 "keyed " + id + " was sent again " + ms(call.began - risky->began) +
                      " ms after a call that may have run",
                  {id}, doc.submitted_at, call.received_at);
         if (risky && type.scope == "zone" && zone_of_[call.endpoint] != zone_of_[risky->endpoint])
-          report("window", "numbered " + id + " was sent again outside its key group", {id}, doc.submitted_at,
+          report("window", "keyed " + id + " was sent again outside its key scope", {id}, doc.submitted_at,
                  call.received_at);
         if (!risky && !call.surely_not_run()) risky = &call;
       }
@@ -537,10 +538,10 @@
     auto grace = settings_.number("grace");
     for (const auto& [id, doc] : documents_)
       for (const auto& call : doc.calls) {
-        auto told = listed_states_.find({call.relay, call.endpoint});
-        if (told == listed_states_.end()) continue;
+        auto listed = listed_states_.find({call.relay, call.endpoint});
+        if (listed == listed_states_.end()) continue;
         Time since = never;
-        for (const auto& line : told->second) {
+        for (const auto& line : listed->second) {
           if (line.at > call.began) break;
           if (line.field("state") == "Ready") since = never;
           else since = std::min(since, line.at);
@@ -551,7 +552,7 @@
         if (call.began > since + grace + drain_slack)
           report("drain",
                  call.relay + " called " + call.endpoint + " " + ms(call.began - since) +
-                     " ms after it was told that it goes",
+                     " ms after it was announced as leaving",
                  {id}, since, call.received_at, call.endpoint);
       }
   }
@@ -610,7 +611,8 @@
           if (count > most + 2 * std::sqrt(most) + 2 && by_knowing > count * 2 / 3) {
             report("pushed-over",
                    "destination " + dest + " returned cold and got " + ms(count) + " calls in " + ms(fall) +
-                       " ms, " + ms(by_knowing) + " of relays that knew; it bore " + ms(most),
+                       " ms, " + ms(by_knowing) +
+                       " of them from relays that knew of the outage; it could take " + ms(most),
                    {}, down, to, dest);
             break;
           }
@@ -641,7 +643,8 @@
             if (call.relay == before.relay && call.life == before.life &&
                 call.received_at + delivery_slack < over)
               report("order",
-                     after.id + " went before " + before.id + ", of the same key and taken earlier, was over",
+                     after.id + " was sent before " + before.id +
+                         ", accepted earlier with the same key, had ended",
                      {before.id, after.id}, before.submitted_at, call.received_at);
         }
     }
@@ -650,20 +653,20 @@
   // A retry_after wait is honoured to its end by the relay that received it, also after a restart if it kept
   // its folder, and with sharing by all relays that were surely informed.
   void check_waits() {
-    struct ToldWait {
+    struct ReceivedWait {
       const Call* call;
       Time until;
     };
-    std::map<std::string, std::vector<ToldWait>> by_dest;
+    std::map<std::string, std::vector<ReceivedWait>> by_dest;
     for (const auto& [id, doc] : documents_)
       for (const auto& call : doc.calls)
         if (call.wait > 0 && call.answered < never && answer_was_read(call))
           by_dest[call.dest].push_back({&call, call.answered + call.wait});
     for (const auto& [id, doc] : documents_)
       for (const auto& call : doc.calls)
-        for (const auto& told : by_dest[call.dest]) {
-          const Call& refused = *told.call;
-          if (call.began >= told.until - wait_slack || call.began <= refused.answered + delivery_slack)
+        for (const auto& wait : by_dest[call.dest]) {
+          const Call& refused = *wait.call;
+          if (call.began >= wait.until - wait_slack || call.began <= refused.answered + delivery_slack)
             continue;
           bool same = call.relay == refused.relay;
           if (same) {
@@ -676,13 +679,14 @@
                 !relays_.at(call.relay).runs_throughout(refused.answered, refused.answered + known_within))
               continue;
             report("wait",
-                   call.relay + " called destination " + call.dest + " " + ms(told.until - call.began) +
-                       " ms before the end of a wait that it was told" + (again ? " in its life before" : ""),
+                   call.relay + " called destination " + call.dest + " " + ms(wait.until - call.began) +
+                       " ms before the end of its retry_after wait" +
+                       (again ? ", received before a restart" : ""),
                    {refused.id, id}, refused.answered, call.received_at, call.dest);
           } else if (surely_informed(refused.relay, call.relay, refused.answered, call.began)) {
             report("shared-wait",
-                   call.relay + " called destination " + call.dest + " " + ms(told.until - call.began) +
-                       " ms before the end of a wait that " + refused.relay + " was told " +
+                   call.relay + " called destination " + call.dest + " " + ms(wait.until - call.began) +
+                       " ms before the end of a retry_after wait that " + refused.relay + " received " +
                        ms(call.began - refused.answered) + " ms before",
                    {refused.id, id}, refused.answered, call.received_at, call.dest);
           }
@@ -706,7 +710,7 @@
           if (informed_since)
             report("opened",
                    relay + " opened a connection to destination " + refused.dest + " " + ms(until - conn.at) +
-                       " ms before the end of a wait that it knew of",
+                       " ms before the end of a retry_after wait that it knew of",
                    {id}, refused.answered, conn.at, refused.dest);
         }
       }
@@ -728,8 +732,8 @@
             if (call.relay == relay ? folder_was_lost(relay, orders[i].at, call.began)
                                     : !surely_informed(relay, call.relay, orders[i].at, call.began))
               continue;
-            report("out", call.relay + " called " + endpoint + ", taken out by staff at " + relay, {id},
-                   orders[i].at, call.received_at, endpoint);
+            report("out", call.relay + " called " + endpoint + ", taken offline by operators at " + relay,
+                   {id}, orders[i].at, call.received_at, endpoint);
           }
       }
   }
@@ -741,7 +745,7 @@
       had[{call->dest, call->key}].push_back(call);
       if (call->idempotency_key != doc->idempotency_key)
         report("mark",
-               call->id + " went with the mark '" + call->idempotency_key + "', not '" +
+               call->id + " was sent with the idempotency key '" + call->idempotency_key + "', not '" +
                    doc->idempotency_key + "'",
                {call->id}, call->began, call->received_at);
     }
@@ -756,7 +760,7 @@
                      " of key " + place.second + " and then got version " + std::to_string(call->version) +
                      " from " + call->relay,
                  {newest->id, call->id}, newest->received_at, call->received_at, place.first);
-        // the subscriber accepted it
+        // The subscriber accepted it
         if ((!newest || call->version > newest->version) && call->status == 200) newest = call;
       }
     }
--- a/src/trial/cold_returns.cpp
+++ b/src/trial/cold_returns.cpp
@@ -40,9 +40,11 @@
     int failing = 1 + below(2);
     for (int i = 1; i <= failing; ++i) {
       std::string endpoint = "e" + std::to_string(i);
-      std::string manner = outages[below(std::size(outages))];
+      std::string behaviour = outages[below(std::size(outages))];
       Millis from = rates_known_at + between(0, 1500), to = from + between(5000, 8000);
-      schedule_action(from, [=](Harness& harness) { harness.set_endpoint(endpoint, {{"manner", manner}}); });
+      schedule_action(from, [=](Harness& harness) {
+        harness.set_endpoint(endpoint, {{"manner", behaviour}});
+      });
       schedule_action(to, [=](Harness& harness) {
         harness.set_endpoint(endpoint, {{"manner", "200"}, {"after", "60"}});
       });
@@ -119,14 +121,13 @@
   for (const auto& relay : harness.relay_names()) {
     harness.resume(relay);
     if (!harness.start(relay, {}))
-      return relay + " does not come up again; its log:\n" + harness.process_log(relay);
+      return relay + " does not start again; its log:\n" + harness.process_log(relay);
   }
   harness.run_until(ends_timeout, [&] {
     return harness.all_submissions_answered() && harness.documents_without_end().empty();
   });
   for (const auto& relay : harness.relay_names())
-    if (harness.process_has_logged(relay, "event=violation"))
-      return relay + " counted a violation of its own";
+    if (harness.process_has_logged(relay, "event=violation")) return relay + " logged a violation itself";
   return {};
 }
 
--- a/src/trial/event_loop.cpp
+++ b/src/trial/event_loop.cpp
@@ -28,7 +28,7 @@
 
 int create_socket() {
   int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0), on = 1;
-  if (fd < 0) throw std::runtime_error("no socket is to be had");
+  if (fd < 0) throw std::runtime_error("cannot create a socket");
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   return fd;
 }
@@ -65,7 +65,7 @@
   auto at = to_sockaddr(address);
   if (bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 || ::listen(fd, 256) != 0) {
     ::close(fd);
-    throw std::runtime_error("cannot listen at " + address.text());
+    throw std::runtime_error("cannot listen on " + address.text());
   }
   Socket& sock = add(fd);
   sock.listening = true;
--- a/src/trial/harness.cpp
+++ b/src/trial/harness.cpp
@@ -28,13 +28,13 @@
 constexpr Millis longest_poll = 10;
 constexpr Millis start_timeout = 8000;  // allows for other tests running at the same time
 
-std::string option(const Options& words, const std::string& name, const std::string& absent) {
+std::string option(const Options& words, const std::string& name, const std::string& fallback) {
   auto found = words.find(name);
-  return found == words.end() ? absent : found->second;
+  return found == words.end() ? fallback : found->second;
 }
-double number(const Options& words, const std::string& name, double absent) {
+double number(const Options& words, const std::string& name, double fallback) {
   auto found = words.find(name);
-  return found == words.end() ? absent : std::stod(found->second);
+  return found == words.end() ? fallback : std::stod(found->second);
 }
 
 // Returns a field of a document's body, which begins "key=K v=N ".
@@ -99,11 +99,11 @@
 
 Harness::Harness(Setup setup) : setup_(std::move(setup)) {
   // Uses a loopback address derived from the process id, so that parallel trials don't collide.
-  auto own = static_cast<unsigned>(getpid());
-  host_ = "127." + std::to_string(64 + (own >> 16 & 63)) + "." + std::to_string(own >> 8 & 255) + "." +
-          std::to_string(own & 255);
+  auto process_id = static_cast<unsigned>(getpid());
+  host_ = "127." + std::to_string(64 + (process_id >> 16 & 63)) + "." +
+          std::to_string(process_id >> 8 & 255) + "." + std::to_string(process_id & 255);
   char name[] = "/tmp/rockcrank-trial-XXXXXX";
-  if (!mkdtemp(name)) throw std::runtime_error("no folder is to be had under /tmp");
+  if (!mkdtemp(name)) throw std::runtime_error("cannot create a folder under /tmp");
   folder_ = name;
   const Json& rules = setup_.settings.at("rules");
   auto ms = [](const Json& of, const char* field) {
@@ -159,7 +159,7 @@
     std::error_code ignored;
     fs::remove_all(folder_, ignored);
   } else {
-    std::fprintf(stderr, "kept: %s\n", folder_.c_str());
+    std::fprintf(stderr, "folder kept: %s\n", folder_.c_str());
   }
 }
 
@@ -247,72 +247,73 @@
   _exit(127);
 }
 
-void Harness::start_without_waiting(const std::string& id, const Options& words) {
-  Relay& relay = relays_.at(id);
+void Harness::start_without_waiting(const std::string& relay_name, const Options& words) {
+  Relay& relay = relays_.at(relay_name);
   if (relay.pid > 0) return;
   write_files(relay);
-  Options variables{{"BALANCER_CONFIG", folder(id) + "/config.json"},
-                    {"BALANCER_STATE", folder(id) + "/state"}};
-  if (setup_.fleet) variables["BALANCER_FLEET"] = folder(id) + "/fleet.toml";
+  Options variables{{"BALANCER_CONFIG", folder(relay_name) + "/config.json"},
+                    {"BALANCER_STATE", folder(relay_name) + "/state"}};
+  if (setup_.fleet) variables["BALANCER_FLEET"] = folder(relay_name) + "/fleet.toml";
   ++relay.life;
-  variables.merge(draw_process_faults(setup_.fault_library, setup_.seed, id, relay.life));
+  variables.merge(draw_process_faults(setup_.fault_library, setup_.seed, relay_name, relay.life));
   relay.suspended = relay.asked_to_stop = false;
-  record("start", {{"r", id}, {"life", std::to_string(relay.life)}});
-  relay.pid = spawn(folder(id), variables, static_cast<std::uint64_t>(number(words, "file_bytes", 0)));
+  record("start", {{"r", relay_name}, {"life", std::to_string(relay.life)}});
+  relay.pid =
+      spawn(folder(relay_name), variables, static_cast<std::uint64_t>(number(words, "file_bytes", 0)));
   for (auto& [name, endpoint] : endpoints_)
-    record("told", {{"r", id}, {"e", name}, {"state", endpoint.state}});
+    record("told", {{"r", relay_name}, {"e", name}, {"state", endpoint.state}});
 }
 
-bool Harness::answers_ping(const std::string& id) {
+bool Harness::answers_ping(const std::string& relay_name) {
   auto heard = std::make_shared<std::string>();
   auto over = std::make_shared<bool>(false);
-  Socket* sock = event_loop_.connect({host_, relays_.at(id).clients});
-  auto number = sock->id;
+  Socket* sock = event_loop_.connect({host_, relays_.at(relay_name).clients});
+  auto socket_id = sock->id;
   sock->on_closed = [over] { *over = true; };
-  sock->on_data = [this, heard, number] {
-    if (Socket* here = event_loop_.find(number)) *heard += here->in, here->in.clear();
+  sock->on_data = [this, heard, socket_id] {
+    if (Socket* here = event_loop_.find(socket_id)) *heard += here->in, here->in.clear();
   };
   event_loop_.send(*sock, "*1\r\n$4\r\nPING\r\n");
   run_until(500, [&] { return *over || !heard->empty(); });
-  if (Socket* here = event_loop_.find(number)) event_loop_.close(*here);
+  if (Socket* here = event_loop_.find(socket_id)) event_loop_.close(*here);
   return *heard == "+PONG\r\n";
 }
 
-bool Harness::start(const std::string& id, const Options& words) {
-  start_without_waiting(id, words);
+bool Harness::start(const std::string& relay_name, const Options& words) {
+  start_without_waiting(relay_name, words);
   auto end = now() + start_timeout;
-  while (now() < end && is_running(id)) {
-    if (answers_ping(id)) return record("up", {{"r", id}}), true;
+  while (now() < end && is_running(relay_name)) {
+    if (answers_ping(relay_name)) return record("up", {{"r", relay_name}}), true;
     run_until(20, [] { return false; });
   }
   return false;
 }
 
-void Harness::kill(const std::string& id) {
-  Relay& relay = relays_.at(id);
+void Harness::kill(const std::string& relay_name) {
+  Relay& relay = relays_.at(relay_name);
   if (relay.pid <= 0) return;
   ::kill(relay.pid, SIGKILL);
   waitpid(std::exchange(relay.pid, -1), nullptr, 0);
   relay.suspended = false;
-  record("kill", {{"r", id}});
+  record("kill", {{"r", relay_name}});
 }
-void Harness::suspend(const std::string& id) {
-  Relay& relay = relays_.at(id);
+void Harness::suspend(const std::string& relay_name) {
+  Relay& relay = relays_.at(relay_name);
   if (relay.pid <= 0 || std::exchange(relay.suspended, true)) return;
   ::kill(relay.pid, SIGSTOP);
-  record("stop", {{"r", id}});
+  record("stop", {{"r", relay_name}});
 }
-void Harness::resume(const std::string& id) {
-  Relay& relay = relays_.at(id);
+void Harness::resume(const std::string& relay_name) {
+  Relay& relay = relays_.at(relay_name);
   if (relay.pid <= 0 || !std::exchange(relay.suspended, false)) return;
-  record("cont", {{"r", id}});
+  record("cont", {{"r", relay_name}});
   ::kill(relay.pid, SIGCONT);
 }
-void Harness::terminate(const std::string& id) {
-  Relay& relay = relays_.at(id);
+void Harness::terminate(const std::string& relay_name) {
+  Relay& relay = relays_.at(relay_name);
   if (relay.pid <= 0) return;
   relay.asked_to_stop = true;
-  record("term", {{"r", id}});
+  record("term", {{"r", relay_name}});
   ::kill(relay.pid, SIGTERM);
 }
 
@@ -327,46 +328,47 @@
   }
 }
 
-void Harness::empty_folder(const std::string& id) {
-  fs::remove_all(folder(id) + "/state");
-  fs::create_directories(folder(id) + "/state");
-  record("folder", {{"r", id}, {"state", "emptied"}});
+void Harness::empty_folder(const std::string& relay_name) {
+  fs::remove_all(folder(relay_name) + "/state");
+  fs::create_directories(folder(relay_name) + "/state");
+  record("folder", {{"r", relay_name}, {"state", "emptied"}});
 }
-void Harness::save_folder(const std::string& id) {
+void Harness::save_folder(const std::string& relay_name) {
   std::error_code ignored;  // files may come and go while the process runs
-  fs::remove_all(folder(id) + "/image", ignored);
-  fs::create_directories(folder(id) + "/image");
-  for (const auto& entry : fs::recursive_directory_iterator(folder(id) + "/state", ignored)) {
-    auto to = folder(id) + "/image/" + fs::relative(entry.path(), folder(id) + "/state").string();
+  fs::remove_all(folder(relay_name) + "/image", ignored);
+  fs::create_directories(folder(relay_name) + "/image");
+  for (const auto& entry : fs::recursive_directory_iterator(folder(relay_name) + "/state", ignored)) {
+    auto to =
+        folder(relay_name) + "/image/" + fs::relative(entry.path(), folder(relay_name) + "/state").string();
     if (entry.is_directory()) fs::create_directories(to, ignored);
     else if (entry.is_regular_file()) fs::copy_file(entry.path(), to, ignored);
   }
-  record("saved", {{"r", id}});
+  record("saved", {{"r", relay_name}});
 }
-void Harness::restore_folder(const std::string& id) {
-  fs::remove_all(folder(id) + "/state");
-  if (fs::exists(folder(id) + "/image"))
-    fs::copy(folder(id) + "/image", folder(id) + "/state", fs::copy_options::recursive);
-  else fs::create_directories(folder(id) + "/state");
-  record("folder", {{"r", id}, {"state", "older"}});
+void Harness::restore_folder(const std::string& relay_name) {
+  fs::remove_all(folder(relay_name) + "/state");
+  if (fs::exists(folder(relay_name) + "/image"))
+    fs::copy(folder(relay_name) + "/image", folder(relay_name) + "/state", fs::copy_options::recursive);
+  else fs::create_directories(folder(relay_name) + "/state");
+  record("folder", {{"r", relay_name}, {"state", "older"}});
 }
 
 // Prevents any file in the folder from growing, or allows it again.
-void Harness::set_disk_full(const std::string& id, bool full) {
-  Relay& relay = relays_.at(id);
+void Harness::set_disk_full(const std::string& relay_name, bool full) {
+  Relay& relay = relays_.at(relay_name);
   if (relay.pid <= 0) return;
   std::uintmax_t largest = 1;
   std::error_code ignored;
-  for (const auto& entry : fs::recursive_directory_iterator(folder(id) + "/state", ignored))
+  for (const auto& entry : fs::recursive_directory_iterator(folder(relay_name) + "/state", ignored))
     if (entry.is_regular_file(ignored)) largest = std::max(largest, fs::file_size(entry.path(), ignored));
   rlimit limit{full ? static_cast<rlim_t>(largest) : RLIM_INFINITY, RLIM_INFINITY};
   prlimit(relay.pid, RLIMIT_FSIZE, &limit, nullptr);
-  record(full ? "full" : "roomy", {{"r", id}});
+  record(full ? "full" : "roomy", {{"r", relay_name}});
 }
 
-void Harness::damage_files(const std::string& id, const std::string& how) {
+void Harness::damage_files(const std::string& relay_name, const std::string& how) {
   std::string foreign(1000, 'z');
-  for (const auto& entry : fs::recursive_directory_iterator(folder(id) + "/state")) {
+  for (const auto& entry : fs::recursive_directory_iterator(folder(relay_name) + "/state")) {
     auto name = entry.path().filename().string();
     if (!entry.is_regular_file() || name.rfind("held", 0) == 0) continue;
     auto size = entry.file_size();
@@ -377,9 +379,9 @@
       file.seekp(static_cast<std::streamoff>(size / 2))
           << std::string(std::min<std::size_t>(size / 3, 64), '#');
     }
-    record("spoilt", {{"r", id}, {"file", name}, {"how", how}});
+    record("spoilt", {{"r", relay_name}, {"file", name}, {"how", how}});
   }
-  record("folder", {{"r", id}, {"state", "spoilt"}});
+  record("folder", {{"r", relay_name}, {"state", "spoilt"}});
 }
 
 bool Harness::all_linked_since(Millis from) const {
@@ -393,23 +395,23 @@
   return true;
 }
 
-void Harness::run_duplicate(const std::string& id, bool starts) {
-  auto other = id + "b";
+void Harness::run_duplicate(const std::string& relay_name, bool starts) {
+  auto other = relay_name + "b";
   if (!starts) return kill(other);
   if (!relays_.count(other)) {
     Relay& relay = relays_[other];
-    relay.name = id, relay.zone = relays_.at(id).zone;
+    relay.name = relay_name, relay.zone = relays_.at(relay_name).zone;
     relay.clients = next_port(), relay.admin = next_port(), relay.agent = next_port();
     relay.members = next_port();
     Socket* agent = event_loop_.listen({host_, relay.agent});
     agent->on_accepted = [this, other](Socket& sock) { accept_agent(other, sock); };
-    record("relay", {{"r", other}, {"twin", id}});
+    record("relay", {{"r", other}, {"twin", relay_name}});
     for (auto& [name, endpoint] : endpoints_)
       if (!endpoint.listeners.empty()) open_endpoint(endpoint);
   }
   fs::remove_all(folder(other));
   fs::create_directories(folder(other));
-  fs::copy(folder(id) + "/image", folder(other) + "/state", fs::copy_options::recursive);
+  fs::copy(folder(relay_name) + "/image", folder(other) + "/state", fs::copy_options::recursive);
   record("folder", {{"r", other}, {"state", "older"}});
   start(other, {});
 }
@@ -431,19 +433,19 @@
 
 // ---- the platform's agent
 
-void Harness::accept_agent(const std::string& id, Socket& sock) {
-  sock.on_data = [this, id, number = sock.id] { handle_agent_request(id, number); };
-  sock.on_closed = [this, id, number = sock.id] {
-    polling_agents_[id].erase(number), poll_versions_.erase(number);
+void Harness::accept_agent(const std::string& relay_name, Socket& sock) {
+  sock.on_data = [this, relay_name, socket_id = sock.id] { handle_agent_request(relay_name, socket_id); };
+  sock.on_closed = [this, relay_name, socket_id = sock.id] {
+    polling_agents_[relay_name].erase(socket_id), poll_versions_.erase(socket_id);
   };
 }
 
-nlohmann::json Harness::list_for(const std::string& id) {
+nlohmann::json Harness::list_for(const std::string& relay_name) {
   Json list{{"rev", revision_}, {"all", true}, {"targets", Json::array()}};
   for (const auto& [name, endpoint] : endpoints_)
-    if (endpoint.ports.count(id))
+    if (endpoint.ports.count(relay_name))
       list["targets"].push_back({{"uid", name},
-                                 {"endpoint", Address{host_, endpoint.ports.at(id)}.text()},
+                                 {"endpoint", Address{host_, endpoint.ports.at(relay_name)}.text()},
                                  {"az", endpoint.zone},
                                  {"model", endpoint.kind == 0 ? "m0" : "m1"},
                                  {"pod_group", endpoint.dest},
@@ -453,20 +455,20 @@
   return list;
 }
 
-void Harness::send_list(Relay& relay, std::uint64_t number) {
+void Harness::send_list(Relay& relay, std::uint64_t socket_id) {
   auto id =
       std::find_if(relays_.begin(), relays_.end(), [&](auto& at) { return &at.second == &relay; })->first;
-  polling_agents_[id].erase(number);
-  Socket* sock = event_loop_.find(number);
+  polling_agents_[id].erase(socket_id);
+  Socket* sock = event_loop_.find(socket_id);
   if (!sock) return;
   event_loop_.send(*sock, http("200 OK", "", list_for(id).dump()));
   for (auto& [name, endpoint] : endpoints_)
     record("told", {{"r", id}, {"e", name}, {"state", endpoint.state}});
 }
 
-void Harness::handle_agent_request(const std::string& id, std::uint64_t number) {
+void Harness::handle_agent_request(const std::string& relay_name, std::uint64_t socket_id) {
   std::string head, body;
-  while (Socket* sock = event_loop_.find(number)) {
+  while (Socket* sock = event_loop_.find(socket_id)) {
     if (!take_request(sock->in, head, body)) return;
     if (head.rfind("POST /reports ", 0) == 0) {
       std::istringstream lines(body);
@@ -474,23 +476,23 @@
         auto notice = Json::parse(line, nullptr, false);
         if (!notice.is_object()) continue;
         auto doc = notice.value("id", "");
-        record("notice", {{"r", id}, {"id", doc}, {"status", notice.value("status", "")}});
+        record("notice", {{"r", relay_name}, {"id", doc}, {"status", notice.value("status", "")}});
         if (auto found = documents_.find(doc); found != documents_.end()) found->second.ended = true;
       }
       event_loop_.send(*sock, http("204 No Content", "", ""));
     } else if (head.rfind("GET /v1/servers?after=", 0) == 0) {
       auto version = std::stoll(head.substr(22));
       if (version < revision_) {
-        send_list(relays_.at(id), number);
+        send_list(relays_.at(relay_name), socket_id);
         continue;
       }
-      polling_agents_[id].insert(number);
+      polling_agents_[relay_name].insert(socket_id);
       auto wait = std::stod(head.substr(head.find("wait_ms=") + 8));
-      event_loop_.schedule(now() + wait, [this, id, number] {
-        if (polling_agents_[id].count(number)) send_list(relays_.at(id), number);
+      event_loop_.schedule(now() + wait, [this, relay_name, socket_id] {
+        if (polling_agents_[relay_name].count(socket_id)) send_list(relays_.at(relay_name), socket_id);
       });
     } else {
-      send_list(relays_.at(id), number);
+      send_list(relays_.at(relay_name), socket_id);
     }
   }
 }
@@ -509,16 +511,16 @@
                       {"dest", std::to_string(endpoints_.at(name).dest)},
                       {"r", id},
                       {"conn", std::to_string(sock.id)}});
-      sock.on_data = [this, name, id, number = sock.id] { handle_call_data(name, id, number); };
-      sock.on_closed = [this, name, number = sock.id] { connections_[name].erase(number); };
+      sock.on_data = [this, name, id, socket_id = sock.id] { handle_call_data(name, id, socket_id); };
+      sock.on_closed = [this, name, socket_id = sock.id] { connections_[name].erase(socket_id); };
     };
   }
 }
 void Harness::close_endpoint(Endpoint& endpoint) {
-  for (auto& [id, number] : std::exchange(endpoint.listeners, {}))
-    if (Socket* sock = event_loop_.find(number)) event_loop_.close(*sock);
-  for (auto number : std::exchange(connections_[endpoint.name], {}))
-    if (Socket* sock = event_loop_.find(number)) event_loop_.close(*sock, true);
+  for (auto& [id, socket_id] : std::exchange(endpoint.listeners, {}))
+    if (Socket* sock = event_loop_.find(socket_id)) event_loop_.close(*sock);
+  for (auto socket_id : std::exchange(connections_[endpoint.name], {}))
+    if (Socket* sock = event_loop_.find(socket_id)) event_loop_.close(*sock, true);
 }
 
 void Harness::set_endpoint(const std::string& name, const Options& how) {
@@ -556,25 +558,26 @@
   ++revision_;
   record("list", {{"e", name}, {"state", state}});
   for (auto& [id, relay] : relays_)
-    for (auto number : std::set<std::uint64_t>(polling_agents_[id])) send_list(relay, number);
+    for (auto socket_id : std::set<std::uint64_t>(polling_agents_[id])) send_list(relay, socket_id);
 }
 
-void Harness::handle_call_data(const std::string& name, const std::string& id, std::uint64_t number) {
+void Harness::handle_call_data(const std::string& name, const std::string& relay_name,
+                               std::uint64_t socket_id) {
   std::string head, body;
-  while (Socket* sock = event_loop_.find(number)) {
+  while (Socket* sock = event_loop_.find(socket_id)) {
     auto began = sock->first_byte_at;
     if (!take_request(sock->in, head, body)) return;
     sock->first_byte_at = event_loop_.now();
-    handle_call(endpoints_.at(name), id, *sock, head, body, began);
+    handle_call(endpoints_.at(name), relay_name, *sock, head, body, began);
   }
 }
 
-void Harness::handle_call(Endpoint& endpoint, const std::string& relay, Socket& sock, const std::string& head,
-                          const std::string& body, Millis began) {
-  struct Item {
-    std::string id, mark, body;
+void Harness::handle_call(Endpoint& endpoint, const std::string& relay_name, Socket& sock,
+                          const std::string& head, const std::string& body, Millis began) {
+  struct CalledDocument {
+    std::string id, idempotency_key, body;
   };
-  std::vector<Item> items;
+  std::vector<CalledDocument> items;
   bool batch = head.rfind("POST /v1/messages:batch ", 0) == 0;
   if (batch) {
     auto list = Json::parse(body, nullptr, false);
@@ -588,11 +591,11 @@
   for (const auto& item : items)
     record("call", {{"e", endpoint.name},
                     {"dest", std::to_string(endpoint.dest)},
-                    {"r", relay},
+                    {"r", relay_name},
                     {"conn", std::to_string(sock.id)},
                     {"began", time},
                     {"id", item.id},
-                    {"mark", item.mark},
+                    {"mark", item.idempotency_key},
                     {"key", body_field(item.body, "key")},
                     {"v", body_field(item.body, "v")},
                     {"items", std::to_string(items.size())}});
@@ -603,7 +606,8 @@
   if (behaviour == "silent") return;
   auto socket_id = sock.id;
   if (behaviour == "reset") {
-    for (const auto& item : items) record("broke", {{"e", endpoint.name}, {"r", relay}, {"id", item.id}});
+    for (const auto& item : items)
+      record("broke", {{"e", endpoint.name}, {"r", relay_name}, {"id", item.id}});
     connections_[endpoint.name].erase(socket_id);
     return event_loop_.close(sock, true);
   }
@@ -622,13 +626,13 @@
     Socket* here = event_loop_.find(socket_id);
     for (const auto& item : items) {
       if (!here) {
-        record("broke", {{"e", name}, {"r", relay}, {"id", item.id}});  // the caller has disconnected
+        record("broke", {{"e", name}, {"r", relay_name}, {"id", item.id}});  // the caller has disconnected
         continue;
       }
       std::vector<std::pair<std::string, std::string>> fields{
-          {"e", name},     {"dest", std::to_string(endpoints_.at(name).dest)},
-          {"r", relay},    {"conn", std::to_string(socket_id)},
-          {"id", item.id}, {"status", status}};
+          {"e", name},       {"dest", std::to_string(endpoints_.at(name).dest)},
+          {"r", relay_name}, {"conn", std::to_string(socket_id)},
+          {"id", item.id},   {"status", status}};
       if (wait > 0) fields.emplace_back("wait", std::to_string(static_cast<long>(wait)));
       record("answer", std::move(fields));
       if (auto found = documents_.find(item.id);
@@ -662,8 +666,9 @@
   auto direction = back ? Pair{dialled.second, dialled.first} : dialled;
   Socket *in = event_loop_.find(in_id), *out = event_loop_.find(out_id);
   if (!in || !out) return;
-  auto way = link_states_.find(direction);
-  if (way != link_states_.end() && way->second.state == LinkState::cut) return void(in->paused = true);
+  auto setting = link_states_.find(direction);
+  if (setting != link_states_.end() && setting->second.state == LinkState::cut)
+    return void(in->paused = true);
   if (in->in.empty()) return;
   auto bytes = std::exchange(in->in, {});
   last_passed_[{dialled, back}] = now();
@@ -676,8 +681,9 @@
     if (out->out.empty()) event_loop_.close(*out);
     return;
   }
-  if (way == link_states_.end() || way->second.state != LinkState::slow) return event_loop_.send(*out, bytes);
-  event_loop_.schedule(now() + way->second.delay, [this, out_id, bytes] {
+  if (setting == link_states_.end() || setting->second.state != LinkState::slow)
+    return event_loop_.send(*out, bytes);
+  event_loop_.schedule(now() + setting->second.delay, [this, out_id, bytes] {
     if (Socket* there = event_loop_.find(out_id)) event_loop_.send(*there, bytes);
   });
 }
@@ -691,8 +697,8 @@
                                                     : "slow"}});
   if (state == LinkState::open) link_states_.erase(direction);
   else link_states_[direction] = {state, delay};
-  auto sides = proxied_[direction];
-  for (const auto& side : sides)
+  auto directions = proxied_[direction];
+  for (const auto& side : directions)
     if (Socket* in = event_loop_.find(side.in)) {
       in->paused = state == LinkState::cut;
       if (state != LinkState::cut) forward(side.dialled, side.back, side.in, side.out);
@@ -736,8 +742,8 @@
 
 // ---- clients and operators
 
-void Harness::handle_client_data(const std::string& relay, const std::string& name) {
-  Client& client = clients_[relay][name];
+void Harness::handle_client_data(const std::string& relay_name, const std::string& client_name) {
+  Client& client = clients_[relay_name][client_name];
   Socket* sock = event_loop_.find(client.socket_id);
   if (!sock) return;
   for (auto end = sock->in.find("\r\n"); end != std::string::npos; end = sock->in.find("\r\n")) {
@@ -747,65 +753,67 @@
     auto id = client.asked.front();
     client.asked.pop_front();
     auto what = line == "+OK" ? "OK" : line.rfind("-BUSY", 0) == 0 ? "BUSY" : "ERR";
-    record("said", {{"r", relay}, {"id", id}, {"what", what}});
+    record("said", {{"r", relay_name}, {"id", id}, {"what", what}});
     Document& doc = documents_[id];
     doc.accepted = line == "+OK", doc.awaiting_answer = false;
   }
 }
 
-void Harness::submit(const std::string& relay, const std::string& id, const Options& words) {
+void Harness::submit(const std::string& relay_name, const std::string& id, const Options& words) {
   auto name = option(words, "c", "c");
   auto type = option(words, "type", "plain"), key = option(words, "key", "0"), v = option(words, "v", "0");
   auto left = option(words, "left", "8000"), dest = option(words, "for", "1");
-  auto mark = option(words, "mark", type == "numbered" ? "m-" + id : "");
+  auto idempotency_key = option(words, "mark", type == "numbered" ? "m-" + id : "");
   auto body = words.count("empty") ? std::string()
                                    : "key=" + key + " v=" + v + " " +
                                          std::string(static_cast<std::size_t>(number(words, "fill", 0)), 'x');
-  auto order = std::string(key.size() < 16 ? 16 - key.size() : 0, '0') + key;
-  auto list = "c=" + type + ",d=" + left + ",dest=" + dest + (mark.empty() ? "" : ",k=" + mark);
-  Client& client = clients_[relay][name];
+  auto order_key = std::string(key.size() < 16 ? 16 - key.size() : 0, '0') + key;
+  auto list =
+      "c=" + type + ",d=" + left + ",dest=" + dest + (idempotency_key.empty() ? "" : ",k=" + idempotency_key);
+  Client& client = clients_[relay_name][name];
   Socket* sock = event_loop_.find(client.socket_id);
   if (!sock) {
-    sock = event_loop_.connect({host_, relays_.at(relay).clients});
+    sock = event_loop_.connect({host_, relays_.at(relay_name).clients});
     client.socket_id = sock->id;
-    sock->on_data = [this, relay, name] { handle_client_data(relay, name); };
-    sock->on_closed = [this, relay, name] {
-      for (const auto& asked : std::exchange(clients_[relay][name].asked, {})) {
-        record("unsaid", {{"r", relay}, {"id", asked}});
+    sock->on_data = [this, relay_name, name] { handle_client_data(relay_name, name); };
+    sock->on_closed = [this, relay_name, name] {
+      for (const auto& asked : std::exchange(clients_[relay_name][name].asked, {})) {
+        record("unsaid", {{"r", relay_name}, {"id", asked}});
         documents_[asked].awaiting_answer = false;
       }
     };
   }
-  documents_[id] = {relay};
+  documents_[id] = {relay_name};
   client.asked.push_back(id);
-  record("hand", {{"r", relay},
+  record("hand", {{"r", relay_name},
                   {"id", id},
                   {"type", type},
                   {"dest", dest},
                   {"key", key},
                   {"v", v},
                   {"left", left},
-                  {"mark", mark},
+                  {"mark", idempotency_key},
                   {"c", name},
                   {"empty", words.count("empty") ? "1" : "0"}});
-  event_loop_.send(*sock, command({"ENQUEUE", order, id, list, body}));
+  event_loop_.send(*sock, command({"ENQUEUE", order_key, id, list, body}));
 }
 
-void Harness::schedule_load(const std::string& relay, const std::string& id, const Options& words, int times,
-                            Millis every) {
+void Harness::schedule_load(const std::string& relay_name, const std::string& id, const Options& words,
+                            int times, Millis every) {
   for (int i = 0; i < times; ++i)
     event_loop_.schedule(now() + i * every, [=, this] {
-      if (is_running(relay) && !is_suspended(relay)) submit(relay, id + std::to_string(i), words);
+      if (is_running(relay_name) && !is_suspended(relay_name))
+        submit(relay_name, id + std::to_string(i), words);
     });
 }
 
-void Harness::set_offline(const std::string& relay, const std::string& endpoint, bool offline) {
-  Socket* sock = event_loop_.connect({host_, relays_.at(relay).admin});
+void Harness::set_offline(const std::string& relay_name, const std::string& endpoint, bool offline) {
+  Socket* sock = event_loop_.connect({host_, relays_.at(relay_name).admin});
   auto id = sock->id;
-  sock->on_data = [this, id, relay, endpoint, offline] {
+  sock->on_data = [this, id, relay_name, endpoint, offline] {
     Socket* here = event_loop_.find(id);
     if (here && here->in.rfind("done", 0) == 0)
-      record(offline ? "out" : "in", {{"r", relay}, {"e", endpoint}});
+      record(offline ? "out" : "in", {{"r", relay_name}, {"e", endpoint}});
     if (here) here->in.clear();
   };
   event_loop_.send(*sock, (offline ? "OFFLINE " : "ONLINE ") + endpoint + "\n");
@@ -882,12 +890,12 @@
   });
 }
 
-std::string Harness::process_log(const std::string& relay) const {
-  std::ifstream in(folder(relay) + "/log");
+std::string Harness::process_log(const std::string& relay_name) const {
+  std::ifstream in(folder(relay_name) + "/log");
   return std::string(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
 }
-bool Harness::process_has_logged(const std::string& relay, const std::string& text) const {
-  return process_log(relay).find(text) != std::string::npos;
+bool Harness::process_has_logged(const std::string& relay_name, const std::string& text) const {
+  return process_log(relay_name).find(text) != std::string::npos;
 }
 
 }  // namespace rockcrank::trial
--- a/src/trial/harness.h
+++ b/src/trial/harness.h
@@ -54,35 +54,35 @@
   // how: for=, hall=, rate= and kind= of a new endpoint; manner= a status, silent, reset, down or shut (503
   // during an outage); after= ms, wait= s, times= N calls before it answers 200 again.
   void set_endpoint(const std::string& name, const Options& how);
-  void set_listed_state(const std::string& endpoint, const std::string& state);
+  void set_listed_state(const std::string& name, const std::string& state);
   bool has_endpoint(const std::string& name) const { return endpoints_.count(name) > 0; }
 
   // Starts a relay and waits until it answers. Returns false if it does not. words: file_bytes= and others of
   // the scene.
-  bool start(const std::string& relay, const Options& words);
-  void start_without_waiting(const std::string& relay, const Options& words);
-  bool answers_ping(const std::string& relay);  // sends a PING on a connection of its own
-  void kill(const std::string& relay);
-  void suspend(const std::string& relay);
-  void resume(const std::string& relay);
-  void terminate(const std::string& relay);
-  bool is_running(const std::string& relay) const { return relays_.at(relay).pid > 0; }
-  bool is_suspended(const std::string& relay) const { return relays_.at(relay).suspended; }
-  void empty_folder(const std::string& relay);    // the relay must not be running
-  void save_folder(const std::string& relay);     // keeps a copy, as in a machine image
-  void restore_folder(const std::string& relay);  // the relay must not be running
-  void set_disk_full(const std::string& relay, bool full);
+  bool start(const std::string& relay_name, const Options& words);
+  void start_without_waiting(const std::string& relay_name, const Options& words);
+  bool answers_ping(const std::string& relay_name);  // sends a PING on a connection of its own
+  void kill(const std::string& relay_name);
+  void suspend(const std::string& relay_name);
+  void resume(const std::string& relay_name);
+  void terminate(const std::string& relay_name);
+  bool is_running(const std::string& relay_name) const { return relays_.at(relay_name).pid > 0; }
+  bool is_suspended(const std::string& relay_name) const { return relays_.at(relay_name).suspended; }
+  void empty_folder(const std::string& relay_name);    // the relay must not be running
+  void save_folder(const std::string& relay_name);     // keeps a copy, as in a machine image
+  void restore_folder(const std::string& relay_name);  // the relay must not be running
+  void set_disk_full(const std::string& relay_name, bool full);
   // Damages all files of a folder except the document store. how: cut, smear or foreign (content of another
   // relay).
-  void damage_files(const std::string& relay, const std::string& how);
+  void damage_files(const std::string& relay_name, const std::string& how);
   // Runs or kills a second process under a relay's name, with the saved folder and ports of its own.
-  void run_duplicate(const std::string& relay, bool starts);
+  void run_duplicate(const std::string& relay_name, bool starts);
   // Runs or kills a relay of another fleet that has our members' addresses.
   void run_foreign_relay(bool starts);
 
   void set_link(const std::string& from, const std::string& to, LinkState state, Millis delay = 0);
   void reset_connections(const std::string& from, const std::string& to);
-  // cuts the next chunk in the middle of a frame
+  // Cuts the next chunk in the middle of a frame
   void truncate_next(const std::string& from, const std::string& to);
   void corrupt_next(const std::string& from, const std::string& to);  // inverts bytes of the next chunk
   void flood(const std::string& to, const std::string& what);  // junk, large or half, from an unknown sender
@@ -91,23 +91,25 @@
   // opened to each other one.
   bool all_linked_since(Millis from) const;
 
-  void submit(const std::string& relay, const std::string& id, const Options& words);
+  void submit(const std::string& relay_name, const std::string& id, const Options& words);
   // Submits `times` documents, one every `every` ms, in the background.
-  void schedule_load(const std::string& relay, const std::string& id, const Options& words, int times,
+  void schedule_load(const std::string& relay_name, const std::string& id, const Options& words, int times,
                      Millis every);
-  void set_offline(const std::string& relay, const std::string& endpoint, bool offline);
+  void set_offline(const std::string& relay_name, const std::string& endpoint, bool offline);
 
   bool run_until(Millis within, const std::function<bool()>& holds);
   std::size_t count_entries(const std::string& kind, const Options& wanted, std::size_t from = 0) const;
   std::vector<std::string> documents_without_end() const;  // accepted documents without a final answer
-  // whether each subscriber has the latest of each key
+  // Whether each subscriber has the latest of each key
   bool subscribers_converged() const;
   bool all_submissions_answered() const;  // whether each client has its answers
-  bool process_has_logged(const std::string& relay, const std::string& text) const;  // in its own output
-  std::string process_log(const std::string& relay) const;
+  bool process_has_logged(const std::string& relay_name, const std::string& text) const;  // in its own output
+  std::string process_log(const std::string& relay_name) const;
   // For a load generator outside the harness and for measuring a process's CPU time.
-  Address client_address(const std::string& relay) const { return {host_, relays_.at(relay).clients}; }
-  pid_t pid_of(const std::string& relay) const { return relays_.at(relay).pid; }
+  Address client_address(const std::string& relay_name) const {
+    return {host_, relays_.at(relay_name).clients};
+  }
+  pid_t pid_of(const std::string& relay_name) const { return relays_.at(relay_name).pid; }
   void record(const std::string& kind, std::vector<std::pair<std::string, std::string>> fields);
   Log& log() { return log_; }
 
@@ -151,23 +153,23 @@
   };
   int next_port() { return port_++; }
   void write_files(Relay& relay);
-  std::string folder(const std::string& relay) const { return folder_ + "/" + relay; }
+  std::string folder(const std::string& relay_name) const { return folder_ + "/" + relay_name; }
   pid_t spawn(const std::string& folder, const Options& variables, std::uint64_t file_bytes);
   void reap();
 
-  void accept_agent(const std::string& relay, Socket& sock);
-  void handle_agent_request(const std::string& relay, std::uint64_t sock);
-  void send_list(Relay& relay, std::uint64_t sock);
-  Json list_for(const std::string& relay);
-  void record_listed(const std::string& relay);
+  void accept_agent(const std::string& relay_name, Socket& sock);
+  void handle_agent_request(const std::string& relay_name, std::uint64_t socket_id);
+  void send_list(Relay& relay, std::uint64_t socket_id);
+  Json list_for(const std::string& relay_name);
+  void record_listed(const std::string& relay_name);
   void open_endpoint(Endpoint& endpoint);
   void close_endpoint(Endpoint& endpoint);
-  void handle_call_data(const std::string& endpoint, const std::string& relay, std::uint64_t sock);
-  void handle_call(Endpoint& endpoint, const std::string& relay, Socket& sock, const std::string& head,
+  void handle_call_data(const std::string& name, const std::string& relay_name, std::uint64_t socket_id);
+  void handle_call(Endpoint& endpoint, const std::string& relay_name, Socket& sock, const std::string& head,
                    const std::string& body, Millis began);
   void open_proxy(const std::string& from, const std::string& to);
-  void forward(const Pair& dialled, bool back, std::uint64_t in, std::uint64_t out);
-  void handle_client_data(const std::string& relay, const std::string& client);
+  void forward(const Pair& dialled, bool back, std::uint64_t in_id, std::uint64_t out_id);
+  void handle_client_data(const std::string& relay_name, const std::string& client_name);
 
   Setup setup_;
   EventLoop event_loop_;
--- a/src/trial/injected_violations.cpp
+++ b/src/trial/injected_violations.cpp
@@ -57,10 +57,10 @@
   for (const auto& hand : log) {
     if (hand.kind != "hand" || (!type.empty() && hand.field("type") != type)) continue;
     auto id = hand.field("id");
-    auto said = first(log, "said", {{"id", id}, {"what", "OK"}});
+    auto client_answer = first(log, "said", {{"id", id}, {"what", "OK"}});
     auto call = first(log, "call", {{"id", id}});
     auto answer = first(log, "answer", {{"id", id}, {"status", status}});
-    if (said && call && answer) return AnsweredCall{*call, *answer};
+    if (client_answer && call && answer) return AnsweredCall{*call, *answer};
   }
   return {};
 }
@@ -103,10 +103,10 @@
        }},
       {"unanswered",
        [](Log& log) {
-         auto said = first(log, "said", {{"what", "OK"}});
-         if (!said) return false;
+         auto client_answer = first(log, "said", {{"what", "OK"}});
+         if (!client_answer) return false;
          log.erase(std::find_if(log.begin(), log.end(), [&](auto& e) {
-           return e.matches("said", {{"id", said->field("id")}});
+           return e.matches("said", {{"id", client_answer->field("id")}});
          }));
          return true;
        }},
--- a/src/trial/main.cpp
+++ b/src/trial/main.cpp
@@ -31,29 +31,30 @@
 };
 
 Arguments read_arguments(int argc, char** argv) {
-  cxxopts::Options options("rockcrank_trial", "real processes under faults, and an auditor");
+  cxxopts::Options options("rockcrank_trial",
+                           "Runs relay processes under injected faults and audits what was seen.");
   auto add = options.add_options();
-  add("seed", "all faults and the load are drawn from it", cxxopts::value<unsigned long>());
-  add("relays", "processes, 1 to 64", cxxopts::value<int>());
-  add("part", "fleet, documents, warm, latest or cold; all but cold if left out",
-      cxxopts::value<std::string>());
-  add("seconds", "length of the load, 2 to 600", cxxopts::value<double>());
-  add("scene", "a file with a fixed case, instead of a seed", cxxopts::value<std::string>());
-  add("plant", "a break put into the log, to prove the auditor", cxxopts::value<std::string>());
-  add("program", "path of rockcrank; else beside this program", cxxopts::value<std::string>());
+  add("seed", "random seed of the load and of all faults", cxxopts::value<unsigned long>());
+  add("relays", "number of relays, 1 to 64", cxxopts::value<int>());
+  add("part", "fleet, documents, warm, latest or cold; default: all but cold", cxxopts::value<std::string>());
+  add("seconds", "duration of the load, 2 to 600", cxxopts::value<double>());
+  add("scene", "file with a scripted trial, instead of a seed", cxxopts::value<std::string>());
+  add("plant", "violation to inject into the log, to test the auditor", cxxopts::value<std::string>());
+  add("program", "path of rockcrank; default: beside this program", cxxopts::value<std::string>());
   add("faults",
-      "a library that makes system calls fail (librockcrank_halt.so), with faults drawn from the seed",
+      "library that makes system calls fail (librockcrank_halt.so), with faults drawn from the seed",
       cxxopts::value<std::string>());
-  add("log", "a file for the log of all that was seen", cxxopts::value<std::string>());
+  add("log", "file to write the log of all events to", cxxopts::value<std::string>());
   add("audit", "only audit the log in this file", cxxopts::value<std::string>());
-  add("verbose", "tell all that is seen");
-  add("h,help", "this text");
+  add("verbose", "print each log entry to stderr");
+  add("h,help", "print this help");
   auto given = options.parse(argc, argv);
   if (given.count("help")) {
     std::fputs(options.help().c_str(), stdout);
     std::exit(exit_holds);
   }
-  if (!given.unmatched().empty()) throw std::runtime_error("what is '" + given.unmatched().front() + "'?");
+  if (!given.unmatched().empty())
+    throw std::runtime_error("unexpected argument '" + given.unmatched().front() + "'");
   Arguments all;
   auto text = [&](const char* name, std::string& to) {
     if (given.count(name)) to = given[name].as<std::string>();
@@ -67,18 +68,18 @@
   all.verbose = given.count("verbose") > 0;
   auto wrong = [](const std::string& what) { throw std::runtime_error(what); };
   if (!given.count("seed") && all.scene.empty() && all.audited.empty())
-    wrong("--seed N, --scene FILE or --audit FILE is needed");
-  if (all.relays < 1 || all.relays > 64) wrong("--relays is from 1 to 64");
-  if (!(all.seconds >= 2 && all.seconds <= 600)) wrong("--seconds is from 2 to 600");
+    wrong("one of --seed N, --scene FILE or --audit FILE is required");
+  if (all.relays < 1 || all.relays > 64) wrong("--relays must be from 1 to 64");
+  if (!(all.seconds >= 2 && all.seconds <= 600)) wrong("--seconds must be from 2 to 600");
   if (!all.part.empty() && all.part != "fleet" && all.part != "documents" && all.part != "warm" &&
       all.part != "latest" && all.part != "cold")
-    wrong("--part is fleet, documents, warm, latest or cold, not '" + all.part + "'");
+    wrong("--part must be fleet, documents, warm, latest or cold, not '" + all.part + "'");
   if (!all.violation.empty()) {
     auto names = violation_names();
     if (std::find(names.begin(), names.end(), all.violation) == names.end()) {
       std::string known;
       for (const auto& name : names) known += " " + name;
-      wrong("no such plant: '" + all.violation + "'; there are" + known);
+      wrong("unknown violation '" + all.violation + "' in --plant; known are" + known);
     }
   }
   if (all.program.empty())
@@ -87,9 +88,9 @@
       if (all.program.empty() && std::filesystem::is_regular_file(beside)) all.program = beside.string();
     }
   if (all.audited.empty() && !std::filesystem::is_regular_file(all.program))
-    wrong("no program at '" + all.program + "'; --program PATH tells where rockcrank is");
+    wrong("no program at '" + all.program + "'; give the path of rockcrank with --program PATH");
   if (!all.faults.empty() && !std::filesystem::is_regular_file(all.faults))
-    wrong("no library at '" + all.faults + "'; --faults PATH tells where librockcrank_halt.so is");
+    wrong("no library at '" + all.faults + "'; give the path of librockcrank_halt.so with --faults PATH");
   return all;
 }
 
@@ -104,7 +105,7 @@
 
 void mutate_log(const std::string& name, Log& log) {
   if (!inject_violation(name, log))
-    throw std::runtime_error("nothing was seen in which '" + name + "' could be planted");
+    throw std::runtime_error("the log has no entries into which '" + name + "' can be injected");
 }
 
 int run(const Arguments& all) {
--- a/src/trial/random_trial.cpp
+++ b/src/trial/random_trial.cpp
@@ -240,7 +240,7 @@
             }) ||
         !harness.start(relay, {}))
       if (!harness.start(relay, {}))
-        return relay + " does not come up again; its log:\n" + harness.process_log(relay);
+        return relay + " does not start again; its log:\n" + harness.process_log(relay);
   harness.run_until(ends_timeout, [&] {
     return harness.all_submissions_answered() && harness.documents_without_end().empty();
   });
--- a/src/trial/scene.cpp
+++ b/src/trial/scene.cpp
@@ -74,7 +74,7 @@
           else if (part == "warm") setup.warm = true;
           else if (part == "latest") setup.latest = true;
           else if (part == "none") setup.fleet = false;
-          else throw std::runtime_error("no such part: " + part);
+          else throw std::runtime_error("unknown part: " + part);
         }
       }
     } catch (const std::exception& error) {
@@ -127,7 +127,7 @@
           found.emplace_back(positional[at], other), found.emplace_back(other, positional[at]);
     }
     for (const auto& [a, b] : found)
-      if (!harness.has_relay(a) || !harness.has_relay(b)) throw std::runtime_error("no such relay");
+      if (!harness.has_relay(a) || !harness.has_relay(b)) throw std::runtime_error("unknown relay");
     return found;
   };
   if (verb == "endpoint") {
@@ -149,7 +149,7 @@
     // Kills the relay that made the last call.
     auto call = std::find_if(harness.log().rbegin(), harness.log().rend(),
                              [](auto& one) { return one.kind == "call"; });
-    if (call == harness.log().rend()) return "nobody has called";
+    if (call == harness.log().rend()) return "no call in the log";
     harness.kill(call->field("r"));
   } else if (verb == "folder") {
     if (positional.at(2) == "save") harness.save_folder(positional.at(1));
@@ -209,7 +209,7 @@
   } else if (verb == "until" && positional.at(1) == "peers") {
     auto start = harness.now();
     if (!harness.run_until(within, [&] { return harness.all_linked_since(start); }))
-      return "some member does not hear another";
+      return "some member does not receive from another";
     harness.record("peers", {});
   } else if (verb == "until") {
     auto wanted = condition_fields(options);
@@ -223,7 +223,7 @@
     auto most = static_cast<std::size_t>(number(options, "most", 0));
     harness.run_until(number(options, "for_ms", 0),
                       [&] { return harness.count_entries(positional.at(1), wanted, mark) > most; });
-    if (harness.count_entries(positional.at(1), wanted, mark) > most) return "it came";
+    if (harness.count_entries(positional.at(1), wanted, mark) > most) return "it was seen";
   } else if (verb == "pause") {
     harness.run_until(std::stod(positional.at(1)), [] { return false; });
   } else if (verb == "logged") {
@@ -236,7 +236,7 @@
           return harness.all_submissions_answered() && harness.documents_without_end().empty();
         })) {
       auto left = harness.documents_without_end();
-      return std::to_string(left.size()) + " documents have no end, the first is " +
+      return std::to_string(left.size()) + " documents have no final answer; the first is " +
              (left.empty() ? "-" : left[0]);
     }
   } else if (verb == "latest") {
@@ -249,7 +249,7 @@
       return holds;
     });
     harness.record("quiet", {});
-    if (!holds) return "some subscriber has not had the latest of some key";
+    if (!holds) return "some subscriber lacks the latest version of some key";
   } else if (verb == "quiet") {
     harness.record("quiet", {});
   } else {
