--- a/src/bench/fleet_bench.cpp
+++ b/src/bench/fleet_bench.cpp
@@ -29,7 +29,7 @@
 constexpr int exit_done = 0, exit_failed = 1, exit_bad_arguments = 2;
 
 struct Arguments {
-  std::string part, program, previous;
+  std::string part, program, baseline;
   int rounds = 3;
   double seconds = 1.5;
 };
@@ -58,9 +58,9 @@
   return nanos / 1e6;
 }
 
-Setup base_setup(const Arguments& all, int relays) {
+Setup base_setup(const Arguments& arguments, int relays) {
   Setup setup;
-  setup.program = all.program, setup.relays = relays, setup.settings = trial::default_settings();
+  setup.program = arguments.program, setup.relays = relays, setup.settings = trial::default_settings();
   setup.settings["specifics"]["slots"] = 128;
   return setup;
 }
@@ -73,7 +73,7 @@
   if (linked && !harness.run_until(8000, [&] { return harness.all_linked_since(from); }))
     throw std::runtime_error("members do not reach each other");
 }
-void pause(Harness& harness, Millis time) {
+void wait_for(Harness& harness, Millis time) {
   harness.run_until(time, [] { return false; });
 }
 std::vector<trial::Address> client_addresses(const Harness& harness) {
@@ -90,13 +90,13 @@
 
 // Runs first at a fixed rate, to measure the time to +OK and the CPU time for a whole document, then at full
 // load.
-AcceptedRun run_accepted(const Arguments& all, Setup setup, double pace) {
+AcceptedRun run_accepted(const Arguments& arguments, Setup setup, double pace) {
   Harness harness(std::move(setup));
   for (int i = 0; i < 4; ++i)
     harness.set_endpoint("e" + std::to_string(i),
                          {{"for", "1"}, {"rate", "20000"}, {"hall", i % 2 ? "h1" : "h0"}});
   start_all(harness, harness.setup().fleet);
-  pause(harness, 300);
+  wait_for(harness, 300);
   auto used = [&] {
     Millis sum = 0;
     for (const auto& name : harness.relay_names()) sum += cpu_time(harness.pid_of(name));
@@ -107,15 +107,15 @@
   load_settings.relays = client_addresses(harness), load_settings.id_prefix = "p", load_settings.rate = pace;
   auto before = used();
   Load paced(load_settings);
-  pause(harness, all.seconds * 1000);
+  wait_for(harness, arguments.seconds * 1000);
   auto first = paced.stop(0);
-  pause(harness, 200);
+  wait_for(harness, 200);
   run.cost = (used() - before) * 1000 / static_cast<double>(std::max<std::uint64_t>(first.accepted, 1));
   run.p50 = quantile(first.answer_times, 0.5), run.p99 = quantile(first.answer_times, 0.99);
   load_settings.id_prefix = "s",
   load_settings.window = 256;  // relays answer once per tick, so a small window would measure the tick
   Load full(load_settings);
-  pause(harness, all.seconds * 1000);
+  wait_for(harness, arguments.seconds * 1000);
   auto second = full.stop(0);
   run.rate = static_cast<double>(second.accepted) / second.duration * 1000;
   run.busy = static_cast<double>(second.busy + first.busy);
@@ -124,26 +124,26 @@
 
 struct Mode {
   std::string name;
-  bool fleet = true, documents = false, wait = false, previous = false;
+  bool fleet = true, documents = false, wait = false, baseline = false;
 };
 
-void measure_accepted(const Arguments& all, double pace) {
+void measure_accepted(const Arguments& arguments, double pace) {
   std::vector<Mode> modes{{"off", false},
                           {"share only", true},
                           {"copies, +OK at once", true, true},
                           {"copies, +OK waits for one", true, true, true}};
-  if (!all.previous.empty())
+  if (!arguments.baseline.empty())
     modes.insert(modes.begin(), {"without fleet features", false, false, false, true});
   std::map<std::string, std::vector<AcceptedRun>> runs;
-  for (int round = 0; round < all.rounds; ++round)
+  for (int round = 0; round < arguments.rounds; ++round)
     for (const auto& mode : modes) {
-      auto setup = base_setup(all, 3);
+      auto setup = base_setup(arguments, 3);
       setup.fleet = mode.fleet, setup.documents = mode.documents;
       setup.fleet_keys["documents.wait"] = mode.wait ? "true" : "false";
       setup.fleet_keys["documents.lease_ms"] = "2000";
       setup.fleet_keys["link.queue_kb"] = "16384";
-      if (mode.previous) setup.program = all.previous;
-      runs[mode.name].push_back(run_accepted(all, std::move(setup), pace));
+      if (mode.baseline) setup.program = arguments.baseline;
+      runs[mode.name].push_back(run_accepted(arguments, std::move(setup), pace));
       const auto& last = runs[mode.name].back();
       std::fprintf(stderr, "%s: %.0f a second, %.0f us, p50 %.2f p99 %.2f, busy %.0f\n", mode.name.c_str(),
                    last.rate, last.cost, last.p50, last.p99, last.busy);
@@ -171,8 +171,8 @@
 // ---- retry_after waits
 
 // Measures from sending a 429 with Retry-After until the last other relay logs that wait.
-std::vector<Millis> run_waits(const Arguments& all, Millis link_delay, int runs) {
-  auto setup = base_setup(all, 5);
+std::vector<Millis> run_waits(const Arguments& arguments, Millis link_delay, int runs) {
+  auto setup = base_setup(arguments, 5);
   Harness harness(std::move(setup));
   for (int i = 1; i <= runs; ++i)
     harness.set_endpoint("w" + std::to_string(i),
@@ -181,7 +181,7 @@
   for (const auto& from : harness.relay_names())
     for (const auto& to : harness.relay_names())
       if (link_delay > 0 && from != to) harness.set_link(from, to, trial::LinkState::slow, link_delay);
-  pause(harness, 1000);
+  wait_for(harness, 1000);
   std::vector<Millis> known;
   for (int i = 1; i <= runs; ++i) {
     auto names = harness.relay_names();
@@ -202,20 +202,20 @@
       });
     };
     auto end = harness.now() + 3000;
-    while (!all_know() && harness.now() < end) pause(harness, 0.5);
+    while (!all_know() && harness.now() < end) wait_for(harness, 0.5);
     if (harness.now() >= end) std::fprintf(stderr, "wait %d is not known to all relays after 3 s\n", i);
     known.push_back(harness.now() - answered_at);
-    pause(harness, 120);
+    wait_for(harness, 120);
   }
   return known;
 }
 
-void measure_waits(const Arguments& all) {
+void measure_waits(const Arguments& arguments) {
   std::printf(
       "\n| link delay | runs | p50 ms | p99 ms | min / median / max ms | target: p99 under |\n"
       "| --- | --- | --- | --- | --- | --- |\n");
   for (Millis link_delay : {0.0, 10.0}) {
-    auto known = run_waits(all, link_delay, 40);
+    auto known = run_waits(arguments, link_delay, 40);
     std::printf("| %.0f ms | %zu | %.1f | %.1f | %s | %.0f ms |\n", link_delay, known.size(),
                 quantile(known, 0.5), quantile(known, 0.99), format_spread(known, 1).c_str(),
                 2 * link_delay + 50);
@@ -229,15 +229,15 @@
   std::size_t unfinished_at_kill = 0, left = 0;
 };
 
-KillRun run_kill(const Arguments& all, const std::string& lease, unsigned long seed) {
-  auto setup = base_setup(all, 3);
+KillRun run_kill(const Arguments& arguments, const std::string& lease, unsigned long seed) {
+  auto setup = base_setup(arguments, 3);
   setup.documents = true, setup.seed = seed;
   setup.settings["specifics"]["slots"] = 32;
   setup.fleet_keys["documents.lease_ms"] = lease;
   Harness harness(std::move(setup));
   harness.set_endpoint("e1", {{"for", "1"}, {"rate", "2000"}, {"after", "50"}});
   start_all(harness, true);
-  pause(harness, 1000);
+  wait_for(harness, 1000);
   for (int i = 0; i < 300; ++i)
     harness.submit("n1", "k" + std::to_string(i), {{"key", std::to_string(i)}, {"left", "18000"}});
   harness.run_until(2000, [&] { return harness.all_submissions_answered(); });
@@ -252,15 +252,15 @@
   return run;
 }
 
-void measure_kill(const Arguments& all) {
+void measure_kill(const Arguments& arguments) {
   std::printf(
       "\n| lease | runs | documents unfinished at the kill | time to the last final answer, ms | without a "
       "final answer |\n"
       "| --- | --- | --- | --- | --- |\n");
   std::map<std::string, std::vector<KillRun>> runs;
-  for (int round = 0; round < all.rounds; ++round)
+  for (int round = 0; round < arguments.rounds; ++round)
     for (const auto* lease : {"1000", "2000"})
-      runs[lease].push_back(run_kill(all, lease, static_cast<unsigned long>(round) + 1));
+      runs[lease].push_back(run_kill(arguments, lease, static_cast<unsigned long>(round) + 1));
   for (const auto& [lease, all_plays] : runs) {
     std::vector<double> took, unfinished_at_kill;
     std::size_t left = 0;
@@ -286,8 +286,8 @@
   double handshakes_met = 0, steady_after = 0, wasted = 0, refused = 0, opened = 0;
 };
 
-ReplacedRun run_replaced(const Arguments& all, bool warmed, unsigned seed) {
-  auto setup = base_setup(all, 5);
+ReplacedRun run_replaced(const Arguments& arguments, bool warmed, unsigned seed) {
+  auto setup = base_setup(arguments, 5);
   setup.share = setup.warm = warmed, setup.seed = seed;
   setup.fleet_keys["warm.connections"] = "64", setup.fleet_keys["warm.neighbours"] = "4";
   Harness harness(std::move(setup));
@@ -303,21 +303,21 @@
                        {{"for", std::to_string(popular_destinations + 1)}, {"rate", "500"}, {"after", "15"}});
   load_settings.weights.push_back(0.2);
   start_all(harness, warmed);
-  pause(harness, 300);
+  wait_for(harness, 300);
   load_settings.relays = client_addresses(harness), load_settings.id_prefix = "r", load_settings.rate = 120,
   load_settings.connections = 1, load_settings.time_to_expiry = 4000;
   load_settings.seed = seed;
   Load load(load_settings);
-  pause(harness, warm_up);
+  wait_for(harness, warm_up);
   harness.set_endpoint("shut",
                        {{"for", std::to_string(popular_destinations + 1)}, {"manner", "429"}, {"wait", "3"}});
-  pause(harness, 500);
+  wait_for(harness, 500);
   auto killed = harness.now();
   harness.kill("n5");
   harness.empty_folder("n5");
   harness.start_without_waiting("n5", {});
   auto from = harness.log().size();
-  pause(harness, observed);
+  wait_for(harness, observed);
   load.stop(0);
   // When a connection opened and when its first call came. A call waited for a handshake if it is the first
   // on its connection and came right after it opened.
@@ -358,11 +358,11 @@
   return run;
 }
 
-void measure_replaced(const Arguments& all) {
+void measure_replaced(const Arguments& arguments) {
   std::map<bool, std::vector<ReplacedRun>> runs;
-  for (int round = 0; round < all.rounds; ++round)
+  for (int round = 0; round < arguments.rounds; ++round)
     for (bool warmed : {false, true}) {
-      runs[warmed].push_back(run_replaced(all, warmed, static_cast<unsigned>(round) + 1));
+      runs[warmed].push_back(run_replaced(arguments, warmed, static_cast<unsigned>(round) + 1));
       const auto& last = runs[warmed].back();
       std::fprintf(stderr, "%s: handshakes %.0f, steady after %.0f ms, wasted %.0f of %.0f, refused %.0f\n",
                    warmed ? "warmed" : "cold", last.handshakes_met, last.steady_after, last.wasted,
@@ -397,52 +397,54 @@
       "program", "path of rockcrank; default: beside this program", cxxopts::value<std::string>())(
       "old", "another rockcrank to compare with, run without a fleet file", cxxopts::value<std::string>())(
       "h,help", "print this help");
-  auto given = options.parse(argc, argv);
-  if (given.count("help")) std::fputs(options.help().c_str(), stdout), std::exit(exit_done);
-  if (!given.unmatched().empty())
-    throw std::runtime_error("unexpected argument '" + given.unmatched().front() + "'");
-  Arguments all;
-  if (given.count("part")) all.part = given["part"].as<std::string>();
-  if (given.count("program")) all.program = given["program"].as<std::string>();
-  if (given.count("old")) all.previous = given["old"].as<std::string>();
-  all.rounds = given["rounds"].as<int>(), all.seconds = given["seconds"].as<double>();
-  pace = given["pace"].as<double>();
-  auto wrong = [](const std::string& what) { throw std::runtime_error(what); };
-  if (all.rounds < 1 || all.rounds > 100) wrong("--rounds must be from 1 to 100");
-  if (!(all.seconds >= 0.2 && all.seconds <= 60)) wrong("--seconds must be from 0.2 to 60");
-  if (!(pace >= 1 && pace <= 20000)) wrong("--pace must be from 1 to 20000");
-  if (!all.part.empty() && all.part != "taken" && all.part != "waits" && all.part != "kill" &&
-      all.part != "replaced")
-    wrong("--part must be taken, waits, kill or replaced, not '" + all.part + "'");
-  if (all.program.empty())
+  auto parsed = options.parse(argc, argv);
+  if (parsed.count("help")) std::fputs(options.help().c_str(), stdout), std::exit(exit_done);
+  if (!parsed.unmatched().empty())
+    throw std::runtime_error("unexpected argument '" + parsed.unmatched().front() + "'");
+  Arguments arguments;
+  if (parsed.count("part")) arguments.part = parsed["part"].as<std::string>();
+  if (parsed.count("program")) arguments.program = parsed["program"].as<std::string>();
+  if (parsed.count("old")) arguments.baseline = parsed["old"].as<std::string>();
+  arguments.rounds = parsed["rounds"].as<int>(), arguments.seconds = parsed["seconds"].as<double>();
+  pace = parsed["pace"].as<double>();
+  auto reject = [](const std::string& what) { throw std::runtime_error(what); };
+  if (arguments.rounds < 1 || arguments.rounds > 100) reject("--rounds must be from 1 to 100");
+  if (!(arguments.seconds >= 0.2 && arguments.seconds <= 60)) reject("--seconds must be from 0.2 to 60");
+  if (!(pace >= 1 && pace <= 20000)) reject("--pace must be from 1 to 20000");
+  if (!arguments.part.empty() && arguments.part != "taken" && arguments.part != "waits" &&
+      arguments.part != "kill" && arguments.part != "replaced")
+    reject("--part must be taken, waits, kill or replaced, not '" + arguments.part + "'");
+  if (arguments.program.empty())
     for (const char* place : {"rockcrank", "../rockcrank"}) {
       auto beside = std::filesystem::read_symlink("/proc/self/exe").parent_path() / place;
-      if (all.program.empty() && std::filesystem::is_regular_file(beside)) all.program = beside.string();
+      if (arguments.program.empty() && std::filesystem::is_regular_file(beside))
+        arguments.program = beside.string();
     }
-  for (const auto& program : {all.program, all.previous.empty() ? all.program : all.previous})
+  for (const auto& program :
+       {arguments.program, arguments.baseline.empty() ? arguments.program : arguments.baseline})
     if (!std::filesystem::is_regular_file(program))
-      wrong("no program at '" + program + "'; give the path of rockcrank with --program PATH");
-  return all;
+      reject("no program at '" + program + "'; give the path of rockcrank with --program PATH");
+  return arguments;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  Arguments all;
+  Arguments arguments;
   double pace = 0;
   try {
-    all = read_arguments(argc, argv, pace);
+    arguments = read_arguments(argc, argv, pace);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "rockcrank_fleet_bench: %s\n", error.what());
     return exit_bad_arguments;
   }
   try {
     std::setvbuf(stdout, nullptr, _IOLBF, 0);
-    auto wanted = [&](const char* part) { return all.part.empty() || all.part == part; };
-    if (wanted("taken")) measure_accepted(all, pace);
-    if (wanted("waits")) measure_waits(all);
-    if (wanted("kill")) measure_kill(all);
-    if (wanted("replaced")) measure_replaced(all);
+    auto wanted = [&](const char* part) { return arguments.part.empty() || arguments.part == part; };
+    if (wanted("taken")) measure_accepted(arguments, pace);
+    if (wanted("waits")) measure_waits(arguments);
+    if (wanted("kill")) measure_kill(arguments);
+    if (wanted("replaced")) measure_replaced(arguments);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "rockcrank_fleet_bench: %s\n", error.what());
     return exit_failed;
--- a/src/bench/latest_bench.cpp
+++ b/src/bench/latest_bench.cpp
@@ -21,7 +21,7 @@
 constexpr StreamId stream{7};
 constexpr DestinationId joiner{5};
 constexpr int keys = 10000, documents = 1000000;
-const fleet::Roster alone{{fleet::MemberId(1), "n1", "h0"}};
+const fleet::Roster single_member{{fleet::MemberId(1), "n1", "h0"}};
 const fleet::Roster two{{fleet::MemberId(1), "n1", "h0"}, {fleet::MemberId(2), "n2", "h0"}};
 
 LatestSettings settings_for(std::vector<DestinationId> subscribers) {
@@ -45,10 +45,10 @@
   }
 };
 
-struct Play {
+struct LogDriver {
   std::unique_ptr<PersistentLog> log;
   Millis now = 1000;
-  std::uint64_t taken_bytes = 0, delivered = 0;
+  std::uint64_t appended_record_bytes = 0, delivered = 0;
 
   void open(const std::string& folder, const fleet::Roster& roster, fleet::MemberId self,
             std::vector<DestinationId> subscribers) {
@@ -56,23 +56,23 @@
     log = std::make_unique<PersistentLog>(peer::make_disk_file_system(folder), folder, roster, self,
                                           settings_for(std::move(subscribers)), 1 << 20, 1, now, 1e12 + now);
   }
-  void take(std::uint64_t key, std::uint64_t number) {
+  void append(std::uint64_t key, std::uint64_t number) {
     Record record;
     record.stream = stream, record.key = "account-" + std::to_string(key);
     record.id = "doc-" + std::to_string(number);
     record.body = std::string(180 + number % 41, 'b') + record.id;
-    taken_bytes += peer::packed(record).size();
+    appended_record_bytes += peer::packed(record).size();
     log->begin_turn(now, 1e12 + now);
     log->append_local(std::move(record));
   }
-  PersistentLog::Actions turn(Millis passes) {
-    now += passes;
+  PersistentLog::Actions turn(Millis elapsed) {
+    now += elapsed;
     log->begin_turn(now, 1e12 + now);
-    auto decided = log->decide();
-    for (const auto& going : decided.deliver) ++delivered, log->module().on_delivery_ended(going, true);
-    return decided;
+    auto actions = log->decide();
+    for (const auto& delivery : actions.deliver) ++delivered, log->module().on_delivery_ended(delivery, true);
+    return actions;
   }
-  void rest(Millis time) {
+  void advance(Millis time) {
     for (Millis until = now + time; now < until;) turn(50);
   }
 };
@@ -82,40 +82,42 @@
 void late_joiner(benchmark::State& state) {
   for (auto run : state) {
     Folder folder;
-    Play play;
-    std::minstd_rand chance(static_cast<unsigned>(state.range(0)));
-    play.open(folder.path, alone, fleet::MemberId(1), {});
+    LogDriver driver;
+    std::minstd_rand random(static_cast<unsigned>(state.range(0)));
+    driver.open(folder.path, single_member, fleet::MemberId(1), {});
     for (int i = 0; i < documents; ++i) {
-      play.take(i < keys ? static_cast<std::uint64_t>(i) : chance() % keys, static_cast<std::uint64_t>(i));
-      if (i % 100 == 99) play.turn(10);
+      driver.append(i < keys ? static_cast<std::uint64_t>(i) : random() % keys,
+                    static_cast<std::uint64_t>(i));
+      if (i % 100 == 99) driver.turn(10);
     }
-    auto most = folder.bytes();
-    play.rest(60000);  // lets pending compactions finish
-    auto usage = play.log->module().usage();
+    auto peak_bytes = folder.bytes();
+    driver.advance(60000);  // lets pending compactions finish
+    auto usage = driver.log->module().usage();
     state.counters["latest_bytes"] = static_cast<double>(usage.live_bytes);
     state.counters["disk_of_latest"] =
         static_cast<double>(folder.bytes()) / static_cast<double>(usage.live_bytes);
-    state.counters["disk_under_load"] = static_cast<double>(most) / static_cast<double>(usage.live_bytes);
-    state.counters["write_amplification"] =
-        static_cast<double>(play.log->segments().appended_bytes()) / static_cast<double>(play.taken_bytes);
+    state.counters["disk_under_load"] =
+        static_cast<double>(peak_bytes) / static_cast<double>(usage.live_bytes);
+    state.counters["write_amplification"] = static_cast<double>(driver.log->segments().appended_bytes()) /
+                                            static_cast<double>(driver.appended_record_bytes);
     state.counters["memory_a_key"] =
         static_cast<double>(usage.memory_bytes) / static_cast<double>(usage.keys);
     auto before = std::chrono::steady_clock::now();
-    play.open(folder.path, alone, fleet::MemberId(1), {joiner});
+    driver.open(folder.path, single_member, fleet::MemberId(1), {joiner});
     std::chrono::duration<double, std::milli> took = std::chrono::steady_clock::now() - before;
     state.counters["start_ms"] = took.count();
     int number = documents, quiet = 0;
     std::uint64_t live = 0;
     while (quiet < 100) {
-      auto had = play.delivered;
-      play.turn(5);
-      quiet = play.delivered == had ? quiet + 1 : 0;
-      for (; quiet == 0 && live * 20 < play.delivered; ++live)
-        play.take(chance() % keys, static_cast<std::uint64_t>(number++));
+      auto delivered_before = driver.delivered;
+      driver.turn(5);
+      quiet = driver.delivered == delivered_before ? quiet + 1 : 0;
+      for (; quiet == 0 && live * 20 < driver.delivered; ++live)
+        driver.append(random() % keys, static_cast<std::uint64_t>(number++));
     }
-    state.counters["documents_a_key"] = static_cast<double>(play.delivered) / keys;
-    play.rest(60000);
-    usage = play.log->module().usage();
+    state.counters["documents_a_key"] = static_cast<double>(driver.delivered) / keys;
+    driver.advance(60000);
+    usage = driver.log->module().usage();
     state.counters["memory_a_key_and_mark"] =
         static_cast<double>(usage.memory_bytes) / static_cast<double>(usage.keys);
     state.counters["disk_with_marks"] =
@@ -129,10 +131,10 @@
 void catch_up(benchmark::State& state) {
   for (auto run : state) {
     Folder folder;
-    Play one, other;
+    LogDriver one, other;
     one.open(folder.path / "1", two, fleet::MemberId(1), {}),
         other.open(folder.path / "2", two, fleet::MemberId(2), {});
-    std::uint64_t whole = 0, moved = 0, messages = 0;
+    std::uint64_t full_copy_bytes = 0, catch_up_bytes = 0, messages = 0;
     constexpr int all = 100000;
     for (int i = 0; i < all; ++i) {
       Record record;
@@ -141,7 +143,7 @@
       record.body = std::string(200, 'b'),
       record.timestamp = {1000000000000, static_cast<std::uint32_t>(i), fleet::MemberId(1)};
       LatestMessage message;
-      message.records = {record}, whole += peer::packed(record).size();
+      message.records = {record}, full_copy_bytes += peer::packed(record).size();
       one.log->on_message(fleet::MemberId(2), message);
       if (i % 100 == 0) record.timestamp.wall_time -= 1000, record.body[0] = 'a', message.records = {record};
       other.log->on_message(fleet::MemberId(1), message);
@@ -153,13 +155,16 @@
     }
     while (one.log->module().digest(stream) != other.log->module().digest(stream) &&
            one.now < start + 600000) {
-      auto there = one.turn(5), back = other.turn(5);
-      for (const auto& [to, message] : there.sends)
-        moved += peer::packed(message).size(), ++messages, other.log->on_message(fleet::MemberId(1), message);
-      for (const auto& [to, message] : back.sends)
-        moved += peer::packed(message).size(), ++messages, one.log->on_message(fleet::MemberId(2), message);
+      auto one_actions = one.turn(5), other_actions = other.turn(5);
+      for (const auto& [to, message] : one_actions.sends)
+        catch_up_bytes += peer::packed(message).size(), ++messages,
+            other.log->on_message(fleet::MemberId(1), message);
+      for (const auto& [to, message] : other_actions.sends)
+        catch_up_bytes += peer::packed(message).size(), ++messages,
+            one.log->on_message(fleet::MemberId(2), message);
     }
-    state.counters["bytes_of_whole"] = static_cast<double>(moved) / static_cast<double>(whole);
+    state.counters["bytes_of_whole"] =
+        static_cast<double>(catch_up_bytes) / static_cast<double>(full_copy_bytes);
     state.counters["virtual_ms"] = one.now - start;
     state.counters["messages"] = static_cast<double>(messages);
   }
@@ -168,12 +173,12 @@
 
 void take_one(benchmark::State& state) {
   Folder folder;
-  Play play;
-  play.open(folder.path, alone, fleet::MemberId(1), {});
+  LogDriver driver;
+  driver.open(folder.path, single_member, fleet::MemberId(1), {});
   std::uint64_t number = 0;
   for (auto run : state) {
-    play.take(number % keys, number);
-    if (++number % 100 == 0) play.turn(10);
+    driver.append(number % keys, number);
+    if (++number % 100 == 0) driver.turn(10);
   }
 }
 BENCHMARK(take_one);
--- a/src/bench/load.cpp
+++ b/src/bench/load.cpp
@@ -47,7 +47,7 @@
   auto accepted = result_.accepted;
   auto open = [&] {
     return std::any_of(connections_.begin(), connections_.end(),
-                       [](auto& at) { return !at.submitted_at.empty(); });
+                       [](auto& connection) { return !connection.submitted_at.empty(); });
   };
   for (auto end = event_loop_.now() + answer_timeout_; open() && event_loop_.now() < end;)
     event_loop_.run_once(5);
@@ -55,27 +55,27 @@
   for (const auto& connection : connections_) result_.unanswered += connection.submitted_at.size();
 }
 
-void Load::connect(std::size_t at) {
-  auto* sock = event_loop_.connect(settings_.relays[connections_[at].relay]);
-  connections_[at].socket_id = sock->id;
-  sock->on_connected = [this, at] {
-    connections_[at].up = true;
-    fill_window(at);
+void Load::connect(std::size_t index) {
+  auto* sock = event_loop_.connect(settings_.relays[connections_[index].relay]);
+  connections_[index].socket_id = sock->id;
+  sock->on_connected = [this, index] {
+    connections_[index].up = true;
+    fill_window(index);
   };
-  sock->on_data = [this, at] { handle_answers(at); };
+  sock->on_data = [this, index] { handle_answers(index); };
   // Reconnects until the relay is back.
-  sock->on_closed = [this, at] {
-    connections_[at].up = false;
-    result_.unanswered += connections_[at].submitted_at.size();
-    connections_[at].submitted_at.clear();
-    event_loop_.schedule(event_loop_.now() + reconnect_delay, [this, at] {
-      if (!stopping_) connect(at);
+  sock->on_closed = [this, index] {
+    connections_[index].up = false;
+    result_.unanswered += connections_[index].submitted_at.size();
+    connections_[index].submitted_at.clear();
+    event_loop_.schedule(event_loop_.now() + reconnect_delay, [this, index] {
+      if (!stopping_) connect(index);
     });
   };
 }
 
-void Load::handle_answers(std::size_t at) {
-  auto& connection = connections_[at];
+void Load::handle_answers(std::size_t index) {
+  auto& connection = connections_[index];
   auto* sock = event_loop_.find(connection.socket_id);
   if (!sock) return;
   std::size_t from = 0;
@@ -89,11 +89,11 @@
     connection.submitted_at.pop_front();
   }
   sock->in.erase(0, from);
-  if (!stopping_) fill_window(at);
+  if (!stopping_) fill_window(index);
 }
 
-void Load::fill_window(std::size_t at) {
-  auto& connection = connections_[at];
+void Load::fill_window(std::size_t index) {
+  auto& connection = connections_[index];
   while (connection.up && connection.submitted_at.size() < static_cast<std::size_t>(settings_.window))
     submit(connection);
 }
--- a/src/bench/load.h
+++ b/src/bench/load.h
@@ -53,9 +53,9 @@
     std::deque<Millis> submitted_at;
   };
   void run();
-  void connect(std::size_t connection);
-  void handle_answers(std::size_t connection);
-  void fill_window(std::size_t connection);
+  void connect(std::size_t index);
+  void handle_answers(std::size_t index);
+  void fill_window(std::size_t index);
   void submit(Connection& connection);
   void pace();
 
--- a/src/trial/main.cpp
+++ b/src/trial/main.cpp
@@ -27,7 +27,7 @@
   int relays = 3;
   double seconds = 6;
   bool verbose = false;
-  std::string part, scene, violation, program, faults, log, audited;
+  std::string part, scene, violation, program, faults, log, audited_log;
 };
 
 Arguments read_arguments(int argc, char** argv) {
@@ -48,50 +48,52 @@
   add("audit", "only audit the log in this file", cxxopts::value<std::string>());
   add("verbose", "print each log entry to stderr");
   add("h,help", "print this help");
-  auto given = options.parse(argc, argv);
-  if (given.count("help")) {
+  auto parsed = options.parse(argc, argv);
+  if (parsed.count("help")) {
     std::fputs(options.help().c_str(), stdout);
     std::exit(exit_holds);
   }
-  if (!given.unmatched().empty())
-    throw std::runtime_error("unexpected argument '" + given.unmatched().front() + "'");
-  Arguments all;
+  if (!parsed.unmatched().empty())
+    throw std::runtime_error("unexpected argument '" + parsed.unmatched().front() + "'");
+  Arguments arguments;
   auto text = [&](const char* name, std::string& to) {
-    if (given.count(name)) to = given[name].as<std::string>();
+    if (parsed.count(name)) to = parsed[name].as<std::string>();
   };
-  text("part", all.part), text("scene", all.scene), text("plant", all.violation),
-      text("program", all.program);
-  text("faults", all.faults), text("log", all.log), text("audit", all.audited);
-  if (given.count("seed")) all.seed = given["seed"].as<unsigned long>();
-  if (given.count("relays")) all.relays = given["relays"].as<int>();
-  if (given.count("seconds")) all.seconds = given["seconds"].as<double>();
-  all.verbose = given.count("verbose") > 0;
-  auto wrong = [](const std::string& what) { throw std::runtime_error(what); };
-  if (!given.count("seed") && all.scene.empty() && all.audited.empty())
-    wrong("one of --seed N, --scene FILE or --audit FILE is required");
-  if (all.relays < 1 || all.relays > 64) wrong("--relays must be from 1 to 64");
-  if (!(all.seconds >= 2 && all.seconds <= 600)) wrong("--seconds must be from 2 to 600");
-  if (!all.part.empty() && all.part != "fleet" && all.part != "documents" && all.part != "warm" &&
-      all.part != "latest" && all.part != "cold")
-    wrong("--part must be fleet, documents, warm, latest or cold, not '" + all.part + "'");
-  if (!all.violation.empty()) {
+  text("part", arguments.part), text("scene", arguments.scene), text("plant", arguments.violation),
+      text("program", arguments.program);
+  text("faults", arguments.faults), text("log", arguments.log), text("audit", arguments.audited_log);
+  if (parsed.count("seed")) arguments.seed = parsed["seed"].as<unsigned long>();
+  if (parsed.count("relays")) arguments.relays = parsed["relays"].as<int>();
+  if (parsed.count("seconds")) arguments.seconds = parsed["seconds"].as<double>();
+  arguments.verbose = parsed.count("verbose") > 0;
+  auto reject = [](const std::string& what) { throw std::runtime_error(what); };
+  if (!parsed.count("seed") && arguments.scene.empty() && arguments.audited_log.empty())
+    reject("one of --seed N, --scene FILE or --audit FILE is required");
+  if (arguments.relays < 1 || arguments.relays > 64) reject("--relays must be from 1 to 64");
+  if (!(arguments.seconds >= 2 && arguments.seconds <= 600)) reject("--seconds must be from 2 to 600");
+  if (!arguments.part.empty() && arguments.part != "fleet" && arguments.part != "documents" &&
+      arguments.part != "warm" && arguments.part != "latest" && arguments.part != "cold")
+    reject("--part must be fleet, documents, warm, latest or cold, not '" + arguments.part + "'");
+  if (!arguments.violation.empty()) {
     auto names = violation_names();
-    if (std::find(names.begin(), names.end(), all.violation) == names.end()) {
+    if (std::find(names.begin(), names.end(), arguments.violation) == names.end()) {
       std::string known;
       for (const auto& name : names) known += " " + name;
-      wrong("unknown violation '" + all.violation + "' in --plant; known are" + known);
+      reject("unknown violation '" + arguments.violation + "' in --plant; known are" + known);
     }
   }
-  if (all.program.empty())
-    for (const char* place : {"rockcrank", "../rockcrank"}) {
-      auto beside = std::filesystem::read_symlink("/proc/self/exe").parent_path() / place;
-      if (all.program.empty() && std::filesystem::is_regular_file(beside)) all.program = beside.string();
+  if (arguments.program.empty())
+    for (const char* candidate : {"rockcrank", "../rockcrank"}) {
+      auto beside = std::filesystem::read_symlink("/proc/self/exe").parent_path() / candidate;
+      if (arguments.program.empty() && std::filesystem::is_regular_file(beside))
+        arguments.program = beside.string();
     }
-  if (all.audited.empty() && !std::filesystem::is_regular_file(all.program))
-    wrong("no program at '" + all.program + "'; give the path of rockcrank with --program PATH");
-  if (!all.faults.empty() && !std::filesystem::is_regular_file(all.faults))
-    wrong("no library at '" + all.faults + "'; give the path of librockcrank_halt.so with --faults PATH");
-  return all;
+  if (arguments.audited_log.empty() && !std::filesystem::is_regular_file(arguments.program))
+    reject("no program at '" + arguments.program + "'; give the path of rockcrank with --program PATH");
+  if (!arguments.faults.empty() && !std::filesystem::is_regular_file(arguments.faults))
+    reject("no library at '" + arguments.faults +
+           "'; give the path of librockcrank_halt.so with --faults PATH");
+  return arguments;
 }
 
 int print_verdict(const std::vector<Violation>& found, const std::string& description) {
@@ -108,36 +110,38 @@
     throw std::runtime_error("the log has no entries into which '" + name + "' can be injected");
 }
 
-int run(const Arguments& all) {
-  if (!all.audited.empty()) {
-    std::ifstream file(all.audited);
-    if (!file) throw std::runtime_error("cannot read the log " + all.audited);
+int run(const Arguments& arguments) {
+  if (!arguments.audited_log.empty()) {
+    std::ifstream file(arguments.audited_log);
+    if (!file) throw std::runtime_error("cannot read the log " + arguments.audited_log);
     std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
-    if (!all.violation.empty()) {
+    if (!arguments.violation.empty()) {
       auto log = parse_log(text);
-      mutate_log(all.violation, log);
+      mutate_log(arguments.violation, log);
       text = format_log(log);
     }
-    return print_verdict(audit(text), all.audited);
+    return print_verdict(audit(text), arguments.audited_log);
   }
   Setup setup;
-  setup.program = all.program, setup.relays = all.relays, setup.seed = all.seed, setup.verbose = all.verbose;
-  if (!all.faults.empty()) setup.fault_library = std::filesystem::absolute(all.faults).string();
+  setup.program = arguments.program, setup.relays = arguments.relays, setup.seed = arguments.seed,
+  setup.verbose = arguments.verbose;
+  if (!arguments.faults.empty()) setup.fault_library = std::filesystem::absolute(arguments.faults).string();
   setup.settings = default_settings();
   std::optional<Scene> scene;
-  const bool cold = all.scene.empty() && all.part == "cold";
+  const bool cold = arguments.scene.empty() && arguments.part == "cold";
   if (cold) set_up_cold_returns(setup);
-  else if (all.scene.empty()) set_up_random_trial(setup, all.part);
-  else scene.emplace(all.scene), scene->set_up(setup);
+  else if (arguments.scene.empty()) set_up_random_trial(setup, arguments.part);
+  else scene.emplace(arguments.scene), scene->set_up(setup);
   Harness harness(setup);
   auto failed = scene  ? scene->play(harness)
                 : cold ? play_cold_returns(harness)
-                       : play_random_trial(harness, all.part, all.seconds);
-  if (!all.violation.empty() && failed.empty()) mutate_log(all.violation, harness.log());
-  if (!all.log.empty()) std::ofstream(all.log) << format_log(harness.log());
-  auto description = scene ? "scene " + all.scene
-                           : "seed " + std::to_string(all.seed) + ", " + std::to_string(setup.relays) +
-                                 " relays, " + (all.part.empty() ? "all parts" : "part " + all.part);
+                       : play_random_trial(harness, arguments.part, arguments.seconds);
+  if (!arguments.violation.empty() && failed.empty()) mutate_log(arguments.violation, harness.log());
+  if (!arguments.log.empty()) std::ofstream(arguments.log) << format_log(harness.log());
+  auto description = scene ? "scene " + arguments.scene
+                           : "seed " + std::to_string(arguments.seed) + ", " + std::to_string(setup.relays) +
+                                 " relays, " +
+                                 (arguments.part.empty() ? "all parts" : "part " + arguments.part);
   description += ", " + std::to_string(harness.count_entries("hand", {})) + " documents, " +
                  std::to_string(harness.count_entries("call", {})) + " calls";
   auto found = audit(format_log(harness.log()));
@@ -148,15 +152,15 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  Arguments all;
+  Arguments arguments;
   try {
-    all = read_arguments(argc, argv);
+    arguments = read_arguments(argc, argv);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "rockcrank_trial: %s\n", error.what());
     return exit_bad_arguments;
   }
   try {
-    return run(all);
+    return run(arguments);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "rockcrank_trial: %s\n", error.what());
     return exit_bad_arguments;
