--- a/src/trial/log.h
+++ b/src/trial/log.h
@@ -1,6 +1,5 @@
-// Owns the trial's log: what the stand-ins saw and did, in the order of time, as lines of plain text. The rig
-// writes it, scenes wait for what it holds, and the auditor reads its text (with a parser of its own).
-// Nothing here may judge.
+// The trial's log: what the harness saw and did, in order of time, as lines of text. Scenes wait for its
+// entries; the auditor reads the text with a parser of its own.
 #pragma once
 
 #include <cstdio>
@@ -13,10 +12,10 @@
 
 namespace rockcrank::trial {
 
-struct Entry {
-  double at = 0;  // ms since the trial began
+struct LogEntry {
+  double at = 0;  // ms since the trial started
   std::string kind;
-  std::vector<std::pair<std::string, std::string>> fields;  // no spaces in either
+  std::vector<std::pair<std::string, std::string>> fields;  // neither may contain spaces
 
   std::string field(const std::string& name) const {
     for (const auto& [key, value] : fields)
@@ -43,21 +42,21 @@
     return true;
   }
 };
-using Log = std::vector<Entry>;
+using Log = std::vector<LogEntry>;
 
-inline std::string text_of(const Log& log) {
+inline std::string format_log(const Log& log) {
   std::string out;
   for (const auto& entry : log) out += entry.text() + '\n';
   return out;
 }
 
-// The other way round, for a log that was kept.
-inline Log log_of(const std::string& text) {
+// Parses a stored log.
+inline Log parse_log(const std::string& text) {
   Log log;
   std::istringstream lines(text);
   for (std::string line; std::getline(lines, line);) {
     std::istringstream words(line);
-    Entry entry;
+    LogEntry entry;
     words >> entry.at >> entry.kind;
     for (std::string word; words >> word;)
       if (auto equals = word.find('='); equals != std::string::npos)
--- a/src/trial/main.cpp
+++ b/src/trial/main.cpp
@@ -1,5 +1,5 @@
-// rockcrank_trial: real processes of the program under drawn or told faults, and a verdict. It holds no logic
-// but that of its command line; docs/fleet-trial.md says how to use it.
+// Command line of rockcrank_trial, which runs real relay processes under random or scripted faults and audits
+// the log. docs/fleet-trial.md describes its use.
 #include <cstdio>
 #include <cxxopts.hpp>
 #include <exception>
@@ -10,153 +10,159 @@
 #include <stdexcept>
 
 #include "trial/auditor.h"
-#include "trial/cold.h"
-#include "trial/draw.h"
-#include "trial/plants.h"
-#include "trial/rig.h"
+#include "trial/cold_returns.h"
+#include "trial/harness.h"
+#include "trial/injected_violations.h"
+#include "trial/random_trial.h"
 #include "trial/scene.h"
 
 namespace {
 
 using namespace rockcrank::trial;
 
-constexpr int holds = 0, broken = 1, bad_arguments = 2;
+constexpr int exit_holds = 0, exit_broken = 1, exit_bad_arguments = 2;
 
 struct Arguments {
   unsigned long seed = 1;
   int relays = 3;
   double seconds = 6;
   bool verbose = false;
-  std::string part, scene, plant, program, faults, log, audited;
+  std::string part, scene, violation, program, faults, log, audited_log;
 };
 
 Arguments read_arguments(int argc, char** argv) {
-  cxxopts::Options options("rockcrank_trial", "real processes under faults, and an auditor");
+  cxxopts::Options options("rockcrank_trial",
+                           "Runs relay processes under injected faults and audits what was seen.");
   auto add = options.add_options();
-  add("seed", "all faults and the load are drawn from it", cxxopts::value<unsigned long>());
-  add("relays", "processes, 1 to 64", cxxopts::value<int>());
-  add("part", "fleet, documents, warm, latest or cold; all but cold if left out",
-      cxxopts::value<std::string>());
-  add("seconds", "length of the load, 2 to 600", cxxopts::value<double>());
-  add("scene", "a file with a fixed case, instead of a seed", cxxopts::value<std::string>());
-  add("plant", "a break put into the log, to prove the auditor", cxxopts::value<std::string>());
-  add("program", "path of rockcrank; else beside this program", cxxopts::value<std::string>());
+  add("seed", "random seed of the load and of all faults", cxxopts::value<unsigned long>());
+  add("relays", "number of relays, 1 to 64", cxxopts::value<int>());
+  add("part", "fleet, documents, warm, latest or cold; default: all but cold", cxxopts::value<std::string>());
+  add("seconds", "duration of the load, 2 to 600", cxxopts::value<double>());
+  add("scene", "file with a scripted trial, instead of a seed", cxxopts::value<std::string>());
+  add("plant", "violation to inject into the log, to test the auditor", cxxopts::value<std::string>());
+  add("program", "path of rockcrank; default: beside this program", cxxopts::value<std::string>());
   add("faults",
-      "a library that makes system calls fail (librockcrank_halt.so), with faults drawn from the seed",
+      "library that makes system calls fail (librockcrank_halt.so), with faults drawn from the seed",
       cxxopts::value<std::string>());
-  add("log", "a file for the log of all that was seen", cxxopts::value<std::string>());
+  add("log", "file to write the log of all events to", cxxopts::value<std::string>());
   add("audit", "only audit the log in this file", cxxopts::value<std::string>());
-  add("verbose", "tell all that is seen");
-  add("h,help", "this text");
-  auto given = options.parse(argc, argv);
-  if (given.count("help")) {
+  add("verbose", "print each log entry to stderr");
+  add("h,help", "print this help");
+  auto parsed = options.parse(argc, argv);
+  if (parsed.count("help")) {
     std::fputs(options.help().c_str(), stdout);
-    std::exit(holds);
+    std::exit(exit_holds);
   }
-  if (!given.unmatched().empty()) throw std::runtime_error("what is '" + given.unmatched().front() + "'?");
-  Arguments all;
+  if (!parsed.unmatched().empty())
+    throw std::runtime_error("unexpected argument '" + parsed.unmatched().front() + "'");
+  Arguments arguments;
   auto text = [&](const char* name, std::string& to) {
-    if (given.count(name)) to = given[name].as<std::string>();
+    if (parsed.count(name)) to = parsed[name].as<std::string>();
   };
-  text("part", all.part), text("scene", all.scene), text("plant", all.plant), text("program", all.program);
-  text("faults", all.faults), text("log", all.log), text("audit", all.audited);
-  if (given.count("seed")) all.seed = given["seed"].as<unsigned long>();
-  if (given.count("relays")) all.relays = given["relays"].as<int>();
-  if (given.count("seconds")) all.seconds = given["seconds"].as<double>();
-  all.verbose = given.count("verbose") > 0;
-  auto wrong = [](const std::string& what) { throw std::runtime_error(what); };
-  if (!given.count("seed") && all.scene.empty() && all.audited.empty())
-    wrong("--seed N, --scene FILE or --audit FILE is needed");
-  if (all.relays < 1 || all.relays > 64) wrong("--relays is from 1 to 64");
-  if (!(all.seconds >= 2 && all.seconds <= 600)) wrong("--seconds is from 2 to 600");
-  if (!all.part.empty() && all.part != "fleet" && all.part != "documents" && all.part != "warm" &&
-      all.part != "latest" && all.part != "cold")
-    wrong("--part is fleet, documents, warm, latest or cold, not '" + all.part + "'");
-  if (!all.plant.empty()) {
-    auto names = plant_names();
-    if (std::find(names.begin(), names.end(), all.plant) == names.end()) {
+  text("part", arguments.part), text("scene", arguments.scene), text("plant", arguments.violation),
+      text("program", arguments.program);
+  text("faults", arguments.faults), text("log", arguments.log), text("audit", arguments.audited_log);
+  if (parsed.count("seed")) arguments.seed = parsed["seed"].as<unsigned long>();
+  if (parsed.count("relays")) arguments.relays = parsed["relays"].as<int>();
+  if (parsed.count("seconds")) arguments.seconds = parsed["seconds"].as<double>();
+  arguments.verbose = parsed.count("verbose") > 0;
+  auto reject = [](const std::string& what) { throw std::runtime_error(what); };
+  if (!parsed.count("seed") && arguments.scene.empty() && arguments.audited_log.empty())
+    reject("one of --seed N, --scene FILE or --audit FILE is required");
+  if (arguments.relays < 1 || arguments.relays > 64) reject("--relays must be from 1 to 64");
+  if (!(arguments.seconds >= 2 && arguments.seconds <= 600)) reject("--seconds must be from 2 to 600");
+  if (!arguments.part.empty() && arguments.part != "fleet" && arguments.part != "documents" &&
+      arguments.part != "warm" && arguments.part != "latest" && arguments.part != "cold")
+    reject("--part must be fleet, documents, warm, latest or cold, not '" + arguments.part + "'");
+  if (!arguments.violation.empty()) {
+    auto names = violation_names();
+    if (std::find(names.begin(), names.end(), arguments.violation) == names.end()) {
       std::string known;
       for (const auto& name : names) known += " " + name;
-      wrong("no such plant: '" + all.plant + "'; there are" + known);
+      reject("unknown violation '" + arguments.violation + "' in --plant; known are" + known);
     }
   }
-  if (all.program.empty())
-    for (const char* place : {"rockcrank", "../rockcrank"}) {
-      auto beside = std::filesystem::read_symlink("/proc/self/exe").parent_path() / place;
-      if (all.program.empty() && std::filesystem::is_regular_file(beside)) all.program = beside.string();
+  if (arguments.program.empty())
+    for (const char* candidate : {"rockcrank", "../rockcrank"}) {
+      auto beside = std::filesystem::read_symlink("/proc/self/exe").parent_path() / candidate;
+      if (arguments.program.empty() && std::filesystem::is_regular_file(beside))
+        arguments.program = beside.string();
     }
-  if (all.audited.empty() && !std::filesystem::is_regular_file(all.program))
-    wrong("no program at '" + all.program + "'; --program PATH tells where rockcrank is");
-  if (!all.faults.empty() && !std::filesystem::is_regular_file(all.faults))
-    wrong("no library at '" + all.faults + "'; --faults PATH tells where librockcrank_halt.so is");
-  return all;
+  if (arguments.audited_log.empty() && !std::filesystem::is_regular_file(arguments.program))
+    reject("no program at '" + arguments.program + "'; give the path of rockcrank with --program PATH");
+  if (!arguments.faults.empty() && !std::filesystem::is_regular_file(arguments.faults))
+    reject("no library at '" + arguments.faults +
+           "'; give the path of librockcrank_halt.so with --faults PATH");
+  return arguments;
 }
 
-int tell(const std::vector<Broken>& found, const std::string& how) {
+int print_verdict(const std::vector<Violation>& found, const std::string& description) {
   for (const auto& one : found) {
-    std::printf("broken: %s: %s\n", one.rule.c_str(), one.what.c_str());
-    for (const auto& line : one.story) std::printf("    %s\n", line.c_str());
+    std::printf("broken: %s: %s\n", one.check.c_str(), one.summary.c_str());
+    for (const auto& line : one.evidence) std::printf("    %s\n", line.c_str());
   }
-  std::printf("%s: %s\n", how.c_str(), found.empty() ? "holds" : "broken");
-  return found.empty() ? holds : broken;
+  std::printf("%s: %s\n", description.c_str(), found.empty() ? "holds" : "broken");
+  return found.empty() ? exit_holds : exit_broken;
 }
 
-void falsify(const std::string& name, Log& log) {
-  if (!plant(name, log))
-    throw std::runtime_error("nothing was seen in which '" + name + "' could be planted");
+void mutate_log(const std::string& name, Log& log) {
+  if (!inject_violation(name, log))
+    throw std::runtime_error("the log has no entries into which '" + name + "' can be injected");
 }
 
-int run(const Arguments& all) {
-  if (!all.audited.empty()) {
-    std::ifstream file(all.audited);
-    if (!file) throw std::runtime_error("cannot read the log " + all.audited);
+int run(const Arguments& arguments) {
+  if (!arguments.audited_log.empty()) {
+    std::ifstream file(arguments.audited_log);
+    if (!file) throw std::runtime_error("cannot read the log " + arguments.audited_log);
     std::string text{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
-    if (!all.plant.empty()) {
-      auto log = log_of(text);
-      falsify(all.plant, log);
-      text = text_of(log);
+    if (!arguments.violation.empty()) {
+      auto log = parse_log(text);
+      mutate_log(arguments.violation, log);
+      text = format_log(log);
     }
-    return tell(audit(text), all.audited);
+    return print_verdict(audit(text), arguments.audited_log);
   }
   Setup setup;
-  setup.program = all.program, setup.relays = all.relays, setup.seed = all.seed, setup.verbose = all.verbose;
-  if (!all.faults.empty()) setup.fault_library = std::filesystem::absolute(all.faults).string();
-  setup.settings = plain_settings();
+  setup.program = arguments.program, setup.relays = arguments.relays, setup.seed = arguments.seed,
+  setup.verbose = arguments.verbose;
+  if (!arguments.faults.empty()) setup.fault_library = std::filesystem::absolute(arguments.faults).string();
+  setup.settings = default_settings();
   std::optional<Scene> scene;
-  const bool cold = all.scene.empty() && all.part == "cold";
-  if (cold) draw_cold_world(setup);
-  else if (all.scene.empty()) draw_world(setup, all.part);
-  else scene.emplace(all.scene), scene->set_up(setup);
-  Rig rig(setup);
-  auto failed = scene  ? scene->play(rig)
-                : cold ? play_cold_returns(rig)
-                       : play_drawn(rig, all.part, all.seconds);
-  if (!all.plant.empty() && failed.empty()) falsify(all.plant, rig.log());
-  if (!all.log.empty()) std::ofstream(all.log) << text_of(rig.log());
-  auto how = scene ? "scene " + all.scene
-                   : "seed " + std::to_string(all.seed) + ", " + std::to_string(setup.relays) + " relays, " +
-                         (all.part.empty() ? "all parts" : "part " + all.part);
-  how += ", " + std::to_string(rig.count("hand", {})) + " documents, " +
-         std::to_string(rig.count("call", {})) + " calls";
-  auto found = audit(text_of(rig.log()));
+  const bool cold = arguments.scene.empty() && arguments.part == "cold";
+  if (cold) set_up_cold_returns(setup);
+  else if (arguments.scene.empty()) set_up_random_trial(setup, arguments.part);
+  else scene.emplace(arguments.scene), scene->set_up(setup);
+  Harness harness(setup);
+  auto failed = scene  ? scene->play(harness)
+                : cold ? play_cold_returns(harness)
+                       : play_random_trial(harness, arguments.part, arguments.seconds);
+  if (!arguments.violation.empty() && failed.empty()) mutate_log(arguments.violation, harness.log());
+  if (!arguments.log.empty()) std::ofstream(arguments.log) << format_log(harness.log());
+  auto description = scene ? "scene " + arguments.scene
+                           : "seed " + std::to_string(arguments.seed) + ", " + std::to_string(setup.relays) +
+                                 " relays, " +
+                                 (arguments.part.empty() ? "all parts" : "part " + arguments.part);
+  description += ", " + std::to_string(harness.count_entries("hand", {})) + " documents, " +
+                 std::to_string(harness.count_entries("call", {})) + " calls";
+  auto found = audit(format_log(harness.log()));
   if (!failed.empty()) found.insert(found.begin(), {"scene", failed, {}});
-  return tell(found, how);
+  return print_verdict(found, description);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  Arguments all;
+  Arguments arguments;
   try {
-    all = read_arguments(argc, argv);
+    arguments = read_arguments(argc, argv);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "rockcrank_trial: %s\n", error.what());
-    return bad_arguments;
+    return exit_bad_arguments;
   }
   try {
-    return run(all);
+    return run(arguments);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "rockcrank_trial: %s\n", error.what());
-    return bad_arguments;
+    return exit_bad_arguments;
   }
 }
