--- a/tests/crossings/halt.cpp
+++ b/tests/crossings/halt.cpp
@@ -1,12 +1,15 @@
-// Loaded into the relay under test (LD_PRELOAD), so that a test can act between two of its system calls.
-// ROCKCRANK_HALT holds one point a line, as FUNCTION:WHEN:TEXT. At the first call of FUNCTION (send, write,
-// shutdown, signal) whose bytes, or signal's number, hold TEXT, the process stops itself (SIGSTOP) before or
-// after the call; the test sees that, acts, and lets it go on or kills it. ROCKCRANK_WALL_AHEAD_MS moves the
-// wall clock, and no other. ROCKCRANK_FAIL makes calls fail for a moment, one rule a line as
-// FUNCTION:ERROR:N: each Nth call of FUNCTION ends with that error (SHORT: half of the bytes go), as Linux
-// documents it: a connect that is interrupted goes on. N may be a span FROM-TO in milliseconds since the
-// process started: then all calls in it fail. Only writes to regular files fail; before the first that does,
-// half of the bytes of one get through.
+// An LD_PRELOAD library that stops the relay under test at chosen system calls or makes system calls fail.
+//
+// ROCKCRANK_HALT has one stop point per line, FUNCTION:WHEN:TEXT. At the first call of FUNCTION (send, write,
+// shutdown, signal) whose bytes, or signal number, contain TEXT, the process stops itself (SIGSTOP) before or
+// after the call. The test detects that, acts, and continues or kills the process.
+//
+// ROCKCRANK_FAIL has one rule per line, FUNCTION:ERROR:N: each Nth call of FUNCTION fails with that error
+// (SHORT: half of the bytes are processed), as Linux documents it: an interrupted connect continues. N may be
+// a span FROM-TO in milliseconds since the process started, in which all calls fail. Only writes to regular
+// files fail, and the first of consecutive failures writes half of its bytes.
+//
+// ROCKCRANK_WALL_AHEAD_MS shifts the wall clock and no other clock.
 #include <dlfcn.h>
 #include <poll.h>
 #include <signal.h>
@@ -26,15 +29,15 @@
 
 namespace {
 
-// The rules of a variable: one a line, three parts with a colon between them.
+// One line of an environment variable: three parts separated by colons.
 struct Rule {
   std::string function, second, third;
 };
 
-std::vector<Rule> rules_told(const char* variable) {
+std::vector<Rule> parse_rules(const char* variable) {
   std::vector<Rule> rules;
-  const char* told = std::getenv(variable);
-  std::string rest = told ? told : "";
+  const char* value = std::getenv(variable);
+  std::string rest = value ? value : "";
   while (!rest.empty()) {
     auto line = rest.substr(0, rest.find('\n'));
     rest.erase(0, line.size() + 1);
@@ -47,32 +50,32 @@
   return rules;
 }
 
-struct Point {
+struct StopPoint {
   std::string function, when, text;
-  bool met = false;
+  bool reached = false;
 };
 
-std::vector<Point> points_told() {
-  std::vector<Point> points;
-  for (const auto& rule : rules_told("ROCKCRANK_HALT"))
+std::vector<StopPoint> parse_stop_points() {
+  std::vector<StopPoint> points;
+  for (const auto& rule : parse_rules("ROCKCRANK_HALT"))
     points.push_back({rule.function, rule.second, rule.third});
   return points;
 }
 
-void halt_at(std::string_view function, std::string_view when, std::string_view bytes) {
-  static std::vector<Point> points = points_told();
+void stop_at(std::string_view function, std::string_view when, std::string_view bytes) {
+  static std::vector<StopPoint> points = parse_stop_points();
   for (auto& point : points) {
-    if (point.met || point.function != function || point.when != when) continue;
+    if (point.reached || point.function != function || point.when != when) continue;
     if (bytes.find(point.text) == std::string_view::npos) continue;
-    point.met = true;
+    point.reached = true;
     ::kill(::getpid(), SIGSTOP);
   }
 }
 
-struct Failing {
+struct FailureRule {
   std::string function, error;
   long every = 0, calls = 0;
-  long from_ms = 0, to_ms = 0;  // in place of every
+  long from_ms = 0, to_ms = 0;  // used if every is 0
 };
 
 long ms_since_start() {
@@ -81,31 +84,29 @@
   return static_cast<long>(std::chrono::duration_cast<std::chrono::milliseconds>(since).count());
 }
 
-std::vector<Failing> failures_told() {
-  std::vector<Failing> failures;
-  for (const auto& rule : rules_told("ROCKCRANK_FAIL")) {
-    Failing failing{rule.function, rule.second};
-    if (auto dash = rule.third.find('-'); dash == std::string::npos)
-      failing.every = std::atol(rule.third.c_str());
-    else
-      failing.from_ms = std::atol(rule.third.c_str()),
-      failing.to_ms = std::atol(rule.third.c_str() + dash + 1);
-    failures.push_back(failing);
+std::vector<FailureRule> parse_failures() {
+  std::vector<FailureRule> failures;
+  for (const auto& line : parse_rules("ROCKCRANK_FAIL")) {
+    FailureRule rule{line.function, line.second};
+    if (auto dash = line.third.find('-'); dash == std::string::npos)
+      rule.every = std::atol(line.third.c_str());
+    else rule.from_ms = std::atol(line.third.c_str()), rule.to_ms = std::atol(line.third.c_str() + dash + 1);
+    failures.push_back(rule);
   }
   ms_since_start();
   return failures;
 }
 
-// How this call of the function ends: an error's name, or empty where it goes through.
-std::string failure_of(std::string_view function) {
-  static std::vector<Failing> failures = failures_told();
+// Counts a call of the function. Returns the name of the error that it has to fail with, or an empty string.
+std::string injected_failure(std::string_view function) {
+  static std::vector<FailureRule> failures = parse_failures();
   std::string error;
-  for (auto& failing : failures) {
-    if (failing.function != function) continue;
-    ++failing.calls;
-    bool now = failing.every > 0 ? failing.calls % failing.every == 0
-                                 : ms_since_start() >= failing.from_ms && ms_since_start() < failing.to_ms;
-    if (now) error = failing.error;
+  for (auto& rule : failures) {
+    if (rule.function != function) continue;
+    ++rule.calls;
+    bool now = rule.every > 0 ? rule.calls % rule.every == 0
+                              : ms_since_start() >= rule.from_ms && ms_since_start() < rule.to_ms;
+    if (now) error = rule.error;
   }
   return error;
 }
@@ -126,7 +127,7 @@
 }
 
 template <typename Function>
-Function* next(const char* name) {
+Function* next_definition(const char* name) {
   return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
 }
 
@@ -135,97 +136,97 @@
 extern "C" {
 
 ssize_t send(int fd, const void* bytes, size_t size, int flags) {
-  static auto* real = next<ssize_t(int, const void*, size_t, int)>("send");
+  static auto* real = next_definition<ssize_t(int, const void*, size_t, int)>("send");
   std::string_view text(static_cast<const char*>(bytes), size);
-  halt_at("send", "before", text);
-  auto failure = failure_of("send");
+  stop_at("send", "before", text);
+  auto failure = injected_failure("send");
   if (failure == "SHORT") size = (size + 1) / 2;
   else if (!failure.empty()) return fail_with(failure);
   auto sent = real(fd, bytes, size, flags);
-  halt_at("send", "after", text);
+  stop_at("send", "after", text);
   return sent;
 }
 
 ssize_t write(int fd, const void* bytes, size_t size) {
-  static auto* real = next<ssize_t(int, const void*, size_t)>("write");
+  static auto* real = next_definition<ssize_t(int, const void*, size_t)>("write");
   std::string_view text(static_cast<const char*>(bytes), size);
-  halt_at("write", "before", text);
+  stop_at("write", "before", text);
   struct stat file {};
   bool regular = fstat(fd, &file) == 0 && S_ISREG(file.st_mode) && fd > STDERR_FILENO;
-  static bool failed_before = false;
+  static bool fails_now = false;
   if (regular) {
-    auto failure = failure_of("write");
-    bool failed_last = std::exchange(failed_before, !failure.empty());
-    if (failed_before && failed_last) return fail_with(failure);
-    if (failed_before) size = (size + 1) / 2;  // a record is cut in two
+    auto failure = injected_failure("write");
+    bool failed_last_time = std::exchange(fails_now, !failure.empty());
+    if (fails_now && failed_last_time) return fail_with(failure);
+    if (fails_now) size = (size + 1) / 2;  // leaves a truncated record
   }
   auto written = real(fd, bytes, size);
-  halt_at("write", "after", text);
+  stop_at("write", "after", text);
   return written;
 }
 
 ssize_t recv(int fd, void* bytes, size_t size, int flags) {
-  static auto* real = next<ssize_t(int, void*, size_t, int)>("recv");
-  auto failure = failure_of("recv");
+  static auto* real = next_definition<ssize_t(int, void*, size_t, int)>("recv");
+  auto failure = injected_failure("recv");
   if (failure == "SHORT") size = (size + 1) / 2;
   else if (!failure.empty()) return fail_with(failure);
   return real(fd, bytes, size, flags);
 }
 
 int poll(pollfd* descriptors, nfds_t count, int timeout) {
-  static auto* real = next<int(pollfd*, nfds_t, int)>("poll");
-  auto failure = failure_of("poll");
+  static auto* real = next_definition<int(pollfd*, nfds_t, int)>("poll");
+  auto failure = injected_failure("poll");
   return failure.empty() ? real(descriptors, count, timeout) : fail_with(failure);
 }
 
 int socket(int domain, int type, int protocol) noexcept {
-  static auto* real = next<int(int, int, int)>("socket");
-  auto failure = failure_of("socket");
+  static auto* real = next_definition<int(int, int, int)>("socket");
+  auto failure = injected_failure("socket");
   return failure.empty() ? real(domain, type, protocol) : fail_with(failure);
 }
 
 int connect(int fd, const sockaddr* to, socklen_t size) {
-  static auto* real = next<int(int, const sockaddr*, socklen_t)>("connect");
-  auto failure = failure_of("connect");
+  static auto* real = next_definition<int(int, const sockaddr*, socklen_t)>("connect");
+  auto failure = injected_failure("connect");
   if (failure.empty()) return real(fd, to, size);
   if (failure == "EINTR" && (real(fd, to, size) == 0 || errno != EINPROGRESS)) return -1;
   return fail_with(failure);
 }
 
 int accept4(int fd, sockaddr* from, socklen_t* size, int flags) {
-  static auto* real = next<int(int, sockaddr*, socklen_t*, int)>("accept4");
-  auto failure = failure_of("accept4");
+  static auto* real = next_definition<int(int, sockaddr*, socklen_t*, int)>("accept4");
+  auto failure = injected_failure("accept4");
   return failure.empty() ? real(fd, from, size, flags) : fail_with(failure);
 }
 
 int shutdown(int fd, int how) noexcept {
-  static auto* real = next<int(int, int)>("shutdown");
-  halt_at("shutdown", "before", {});
-  int done = real(fd, how);
-  halt_at("shutdown", "after", {});
-  return done;
+  static auto* real = next_definition<int(int, int)>("shutdown");
+  stop_at("shutdown", "before", {});
+  int result = real(fd, how);
+  stop_at("shutdown", "after", {});
+  return result;
 }
 
 sighandler_t signal(int number, sighandler_t handler) noexcept {
-  static auto* real = next<sighandler_t(int, sighandler_t)>("signal");
+  static auto* real = next_definition<sighandler_t(int, sighandler_t)>("signal");
   auto text = std::to_string(number);
-  halt_at("signal", "before", text);
-  auto before = real(number, handler);
-  halt_at("signal", "after", text);
-  return before;
+  stop_at("signal", "before", text);
+  auto previous = real(number, handler);
+  stop_at("signal", "after", text);
+  return previous;
 }
 
 int clock_gettime(clockid_t clock, timespec* to) noexcept {
-  static auto* real = next<int(clockid_t, timespec*)>("clock_gettime");
-  static const char* told = std::getenv("ROCKCRANK_WALL_AHEAD_MS");
-  static long ahead_ms = told ? std::atol(told) : 0;
-  int done = real(clock, to);
-  if (done != 0 || clock != CLOCK_REALTIME || ahead_ms == 0) return done;
+  static auto* real = next_definition<int(clockid_t, timespec*)>("clock_gettime");
+  static const char* value = std::getenv("ROCKCRANK_WALL_AHEAD_MS");
+  static long ahead_ms = value ? std::atol(value) : 0;
+  int result = real(clock, to);
+  if (result != 0 || clock != CLOCK_REALTIME || ahead_ms == 0) return result;
   constexpr long ms_per_s = 1000, ns_per_ms = 1000000;
   auto all_ms = to->tv_sec * ms_per_s + to->tv_nsec / ns_per_ms + ahead_ms;
   to->tv_sec = all_ms / ms_per_s;
   to->tv_nsec = all_ms % ms_per_s * ns_per_ms;
-  return done;
+  return result;
 }
 
 }  // extern "C"
--- a/tests/crossings/reserved_port_test.cpp
+++ b/tests/crossings/reserved_port_test.cpp
@@ -1,4 +1,4 @@
-// A reserved port goes to the program that asks for it by number, and to nobody else.
+// ReservedPort: only a program that binds the port by number gets it.
 #include "../reserved_port.h"
 
 #include <gtest/gtest.h>
@@ -18,32 +18,32 @@
   return address;
 }
 
-TEST(ReservedPort, IsRefusedUntilTheRelayListensAndAgainAfterIt) {
+TEST(ReservedPort, RefusesConnectionsBeforeAndAfterARelayListens) {
   rockcrank::EventLoop loop;
   ReservedPort reserved;
-  auto connects = [&] {
+  auto can_connect = [&] {
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     auto to = loopback(reserved.port());
     int result = connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to);
     ::close(fd);
     return result == 0;
   };
-  for (int times = 0; times < 3; ++times) {
-    EXPECT_FALSE(connects());
+  for (int round = 0; round < 3; ++round) {
+    EXPECT_FALSE(can_connect());
     rockcrank::Listener listener(loop, rockcrank::Address{"127.0.0.1", reserved.port()}, [](int) {});
-    EXPECT_TRUE(connects());
+    EXPECT_TRUE(can_connect());
   }
 }
 
-TEST(ReservedPort, NoConnectionAndNoListenerAtAnyPortGetsIt) {
+TEST(ReservedPort, IsNotAssignedToOtherSockets) {
   ReservedPort reserved;
-  int stranger = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  int other_socket = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   auto at = loopback(reserved.port());
-  EXPECT_NE(bind(stranger, reinterpret_cast<sockaddr*>(&at), sizeof at), 0);
+  EXPECT_NE(bind(other_socket, reinterpret_cast<sockaddr*>(&at), sizeof at), 0);
   EXPECT_EQ(errno, EADDRINUSE);
-  ::close(stranger);
+  ::close(other_socket);
 
-  // Reserves more ports beside it than one test run has, all different.
+  // Reserves more ports than one test run uses; all must differ.
   std::vector<ReservedPort> others;
   for (int count = 0; count < 500; ++count) {
     others.emplace_back();
--- a/tests/reserved_port.h
+++ b/tests/reserved_port.h
@@ -1,4 +1,4 @@
-// A TCP port on loopback that belongs to one test until the object goes.
+// Reserves a TCP port on loopback for one test.
 #pragma once
 
 #include <arpa/inet.h>
@@ -12,13 +12,13 @@
 #include <string>
 #include <utility>
 
-// Holds the port by a socket that is bound and does not listen. Whoever connects there is refused. The system
-// gives the port neither to an outgoing connection nor to a listener that asks for any port; a program that
-// binds this very port with SO_REUSEADDR still gets it, again and again. Guards against a port that was found
-// free, closed, and taken by a test that runs beside this one before the program under test listened there.
+// Reserves a port for its lifetime with a socket that is bound but doesn't listen: connections are refused.
+// The system assigns the port neither to an outgoing connection nor to a listener that asks for any port, but
+// a program can bind it by number with SO_REUSEADDR, any number of times. Without this, a port found free and
+// closed again could be taken by a concurrent test before the program under test listens there.
 class ReservedPort {
  public:
-  // Reserves the given port, or one that the system picks.
+  // Reserves the given port; 0: one that the system chooses.
   explicit ReservedPort(int port = 0) : socket_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     int on = 1;
     setsockopt(socket_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -1,5 +1,6 @@
-// Plays the scenarios of tests/scenarios, whose notation is told in tests/scenarios/README.txt. Endpoints
-// answer as the scenario says, the relay is woken when it asked, and the six rules are checked on every step.
+// Runs the scenarios of tests/scenarios; the README.txt there describes their language. The *.scene files run
+// the decision module on a virtual clock: endpoints answer as scripted, the module is woken at the time that
+// it requested, and every send and final answer is checked against the module's rules.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,186 +22,203 @@
 namespace rockcrank {
 namespace {
 
-std::uint64_t tag(const std::string& name) {
+// The number in a name such as e12 or d1.
+std::uint64_t id_number(const std::string& name) {
   return std::stoull(name.substr(name.find_first_of("0123456789")));
 }
 
-const std::map<std::string, TransmissionResult> endings{{"answered", TransmissionResult::answered},
-                                                        {"error", TransmissionResult::error},
-                                                        {"refused", TransmissionResult::refused},
-                                                        {"turned_away", TransmissionResult::refused},
-                                                        {"not_connected", TransmissionResult::not_connected},
-                                                        {"broken", TransmissionResult::connection_lost}};
+const std::map<std::string, TransmissionResult> results_by_name{
+    {"answered", TransmissionResult::answered},
+    {"error", TransmissionResult::error},
+    {"refused", TransmissionResult::refused},
+    {"turned_away", TransmissionResult::refused},
+    {"not_connected", TransmissionResult::not_connected},
+    {"broken", TransmissionResult::connection_lost}};
 
-class Play {
+// Runs one *.scene file against the decision module.
+class DecisionScenario {
  public:
-  void line(const std::string& text) {
+  void run_line(const std::string& text) {
     std::istringstream in(text.substr(0, text.find('#')));
     std::string verb;
     if (!(in >> verb)) return;
-    Words words;
-    std::vector<std::string> plain;
+    Options options;
+    std::vector<std::string> arguments;
     for (std::string word; in >> word;) {
       auto equals = word.find('=');
-      if (equals == std::string::npos) plain.push_back(word);
-      else words[word.substr(0, equals)] = word.substr(equals + 1);
+      if (equals == std::string::npos) arguments.push_back(word);
+      else options[word.substr(0, equals)] = word.substr(equals + 1);
     }
-    if (verb == "relay") relay(words);
-    else if (verb == "type") type(words);
+    if (verb == "relay") set_relay(options);
+    else if (verb == "type") add_doc_type(options);
     else if (verb == "kind")
-      set_.destination_kinds.push_back({number(words, "apart", 0) > 0, int(number(words, "bundle", 1))});
-    else if (verb == "expect") expect(plain, words, text);
-    else if (verb[0] == '@') at(std::stod(verb.substr(1)), plain, words);
+      settings_.destination_kinds.push_back(
+          {number_or(options, "apart", 0) > 0, int(number_or(options, "bundle", 1))});
+    else if (verb == "expect") expect(arguments, options, text);
+    else if (verb[0] == '@') run_event(std::stod(verb.substr(1)), arguments, options);
     else FAIL() << "unknown line: " << text;
   }
 
  private:
-  struct Manner {
-    std::string ending = "answered";
+  struct Behavior {
+    std::string answer = "answered";
     double after = 100, wait = 0, every = 1, share = 0, limit = -1, idle = 0, nth = 0, queue = 1e9;
   };
-  struct Sent {
+  struct SentTransmission {
     Millis at;
     DocId doc;
     EndpointId endpoint;
     int transmission;
   };
-  struct Known {
+  struct DocState {
     Document doc;
     Millis expiry;
-    int tries = 0, out = 0;
+    int transmissions = 0, in_flight = 0;
     bool ended = false, may_have_run = false;
     Millis first_send = 0;
   };
 
-  void relay(const Words& w) {
-    set_.relays = int(number(w, "relays", 1)), set_.slots = int(number(w, "slots", 20));
-    set_.max_documents = int(number(w, "room", 0)), set_.max_transmissions = int(number(w, "tries", 12));
-    set_.connect_timeout = number(w, "connect", 1500);
-    set_.tick = 5, set_.overload_multiple = number(w, "multiple", 2);
-    set_.start_capacity = number(w, "start", 0.2), set_.warm_up_time = number(w, "warm", 10000);
-    set_.order_settle_time = number(w, "rest", 0), set_.exponential_value_decay = number(w, "halves", 1) > 0;
-    set_.limits_from_discovery = number(w, "listed", 0) > 0, seed_ = std::uint64_t(number(w, "seed", 7));
-    set_.max_retry_after = 3000, set_.may_cancel = true, set_.discovery_on_request = w.count("asks") > 0;
-    set_.local_discovery_agent = w.count("at_hand") > 0, tells_ = w.count("tells") > 0;
+  void set_relay(const Options& options) {
+    settings_.relays = int(number_or(options, "relays", 1)),
+    settings_.slots = int(number_or(options, "slots", 20));
+    settings_.max_documents = int(number_or(options, "room", 0)),
+    settings_.max_transmissions = int(number_or(options, "tries", 12));
+    settings_.connect_timeout = number_or(options, "connect", 1500);
+    settings_.tick = 5, settings_.overload_multiple = number_or(options, "multiple", 2);
+    settings_.start_capacity = number_or(options, "start", 0.2),
+    settings_.warm_up_time = number_or(options, "warm", 10000);
+    settings_.order_settle_time = number_or(options, "rest", 0),
+    settings_.exponential_value_decay = number_or(options, "halves", 1) > 0;
+    settings_.limits_from_discovery = number_or(options, "listed", 0) > 0,
+    seed_ = std::uint64_t(number_or(options, "seed", 7));
+    settings_.max_retry_after = 3000, settings_.may_cancel = true,
+    settings_.discovery_on_request = options.count("asks") > 0;
+    settings_.local_discovery_agent = options.count("at_hand") > 0,
+    reports_changes_ = options.count("tells") > 0;
   }
-  void type(const Words& w) {
+  void add_doc_type(const Options& options) {
     DocType t;
-    t.target_latency = number(w, "agreed", 2000), t.lifetime = number(w, "life", 20000);
-    t.value = number(w, "value", 1);
-    t.late_value = 0.3, t.idempotency_window = number(w, "window", 12000),
-    t.in_order = number(w, "ordered", 0) > 0;
-    auto repeat = w.count("repeat") ? w.at("repeat") : "replayable";
+    t.target_latency = number_or(options, "agreed", 2000), t.lifetime = number_or(options, "life", 20000);
+    t.value = number_or(options, "value", 1);
+    t.late_value = 0.3, t.idempotency_window = number_or(options, "window", 12000),
+    t.in_order = number_or(options, "ordered", 0) > 0;
+    auto repeat = options.count("repeat") ? options.at("repeat") : "replayable";
     t.retry_safety = repeat == "binding"    ? RetrySafety::unsafe
                      : repeat == "numbered" ? RetrySafety::keyed
                                             : RetrySafety::idempotent;
-    t.idempotency_scope =
-        w.count("group") && w.at("group") == "hall" ? IdempotencyScope::zone : IdempotencyScope::global;
-    set_.doc_types.push_back(t);
+    t.idempotency_scope = options.count("group") && options.at("group") == "hall" ? IdempotencyScope::zone
+                                                                                  : IdempotencyScope::global;
+    settings_.doc_types.push_back(t);
   }
 
-  void at(Millis time, const std::vector<std::string>& plain, const Words& words) {
-    if (set_.destination_kinds.empty()) set_.destination_kinds.push_back({});
-    if (set_.doc_types.empty()) type({{"repeat", "replayable"}});
-    if (set_.tick == 0) relay({});
-    if (!decision_) decision_ = Decision::make(set_, seed_);
-    if (plain.at(0) == "end") {
-      turn_end();
-      run_until(time + set_.tick / 2);
+  void run_event(Millis time, const std::vector<std::string>& arguments, const Options& options) {
+    if (settings_.destination_kinds.empty()) settings_.destination_kinds.push_back({});
+    if (settings_.doc_types.empty()) add_doc_type({{"repeat", "replayable"}});
+    if (settings_.tick == 0) set_relay({});
+    if (!decision_) decision_ = Decision::make(settings_, seed_);
+    if (arguments.at(0) == "end") {
+      end_turn();
+      run_until(time + settings_.tick / 2);
       now_ = time;
       return;
     }
     if (time > now_) {
-      turn_end();
+      end_turn();
       run_until(time);
       now_ = time;
     }
-    if (!open_) decision_->begin_turn(now_), open_ = true;
-    const std::string& verb = plain.at(0);
-    auto of = [&](const char* name, double absent = 0) { return number(words, name, absent); };
-    if (plain.size() > 2) {
-      manners_[EndpointId(tag(plain.at(1)))] = {plain.at(2),    of("after", 100), of("wait"),
-                                                of("every", 1), of("share", 1),   of("limit", -1),
-                                                of("idle"),     of("nth"),        of("queue", 1e9)};
+    if (!in_turn_) decision_->begin_turn(now_), in_turn_ = true;
+    const std::string& verb = arguments.at(0);
+    auto option = [&](const char* name, double absent = 0) { return number_or(options, name, absent); };
+    if (arguments.size() > 2) {
+      behaviors_[EndpointId(id_number(arguments.at(1)))] = {
+          arguments.at(2),     option("after", 100), option("wait"), option("every", 1),  option("share", 1),
+          option("limit", -1), option("idle"),       option("nth"),  option("queue", 1e9)};
     }
     if (verb == "out" || verb == "back") {
-      EndpointId e{tag(plain.at(1))};
-      told_off_[e] = verb == "out" ? now_ + 2000 : 1e18;
+      EndpointId e{id_number(arguments.at(1))};
+      last_send_time_[e] = verb == "out" ? now_ + 2000 : 1e18;
       decision_->set_offline(e, verb == "out");
     } else if (verb == "retune") {
-      auto fresh = set_;
-      if (words.count("tries")) fresh.max_transmissions = int(of("tries"));
-      for (auto& type : fresh.doc_types)
-        if (words.count("repeat")) type.retry_safety = RetrySafety::unsafe;
-      decision_->update_settings(fresh);
+      auto updated = settings_;
+      if (options.count("tries")) updated.max_transmissions = int(option("tries"));
+      for (auto& type : updated.doc_types)
+        if (options.count("repeat")) type.retry_safety = RetrySafety::unsafe;
+      decision_->update_settings(updated);
     } else if (verb == "unlisted") {
-      decision_->discovery_failed(of("turned_away") > 0, of("took"));
+      decision_->discovery_failed(option("turned_away") > 0, option("took"));
     } else if (verb == "list" || verb == "drain" || verb == "gone") {
       EndpointEntry e;
-      e.endpoint = EndpointId(tag(plain.at(1))), e.destination = DestinationId(of("for", 1));
-      e.kind = DestinationKindId(of("kind")), e.zone = ZoneId(of("hall")), e.listed_rate = of("rate");
+      e.endpoint = EndpointId(id_number(arguments.at(1))), e.destination = DestinationId(option("for", 1));
+      e.kind = DestinationKindId(option("kind")), e.zone = ZoneId(option("hall")),
+      e.listed_rate = option("rate");
       e.status = verb == "list"    ? EndpointStatus::ready
                  : verb == "drain" ? EndpointStatus::draining
                                    : EndpointStatus::gone;
-      if (!words.count("yet_out")) told_off_[e.endpoint] = verb == "list" ? 1e18 : now_ + 2000;
-      owner_[e.endpoint] = set_.destination_kinds.at(std::size_t(e.kind)).route_per_endpoint
-                               ? 1000 + tag(plain.at(1))
-                               : std::uint64_t(e.destination);
+      if (!options.count("yet_out")) last_send_time_[e.endpoint] = verb == "list" ? 1e18 : now_ + 2000;
+      route_of_[e.endpoint] = settings_.destination_kinds.at(std::size_t(e.kind)).route_per_endpoint
+                                  ? 1000 + id_number(arguments.at(1))
+                                  : std::uint64_t(e.destination);
       decision_->update_endpoints({e}, false);
     } else if (verb == "take") {
-      for (int i = 0; i < int(number(words, "times", 1)); ++i) {
-        Known k;
-        k.doc.id = DocId(tag(plain.at(1)) + std::uint64_t(i)), k.doc.type = DocTypeId(of("type"));
-        k.doc.destination = DestinationId(of("for", 1)), k.doc.key = KeyId(of("key"));
-        k.doc.has_key = words.count("key") > 0;
-        k.doc.time_left = number(words, "left", set_.doc_types.at(std::size_t(k.doc.type)).lifetime);
-        k.expiry = now_ + k.doc.time_left;
-        k.tries = k.doc.transmissions = int(of("tries"));
-        k.may_have_run = k.doc.may_have_run = words.count("ran") > 0;
-        k.doc.may_have_run_ago = of("ran"), k.first_send = now_ - of("ran");
-        if (k.may_have_run && k.doc.has_key) rests_[k.doc.key] = now_ + set_.order_settle_time;
-        known_[k.doc.id] = k;
-        order_.push_back(k.doc.id);
-        decision_->accept(k.doc);
+      for (int i = 0; i < int(number_or(options, "times", 1)); ++i) {
+        DocState state;
+        state.doc.id = DocId(id_number(arguments.at(1)) + std::uint64_t(i)),
+        state.doc.type = DocTypeId(option("type"));
+        state.doc.destination = DestinationId(option("for", 1)), state.doc.key = KeyId(option("key"));
+        state.doc.has_key = options.count("key") > 0;
+        state.doc.time_left =
+            number_or(options, "left", settings_.doc_types.at(std::size_t(state.doc.type)).lifetime);
+        state.expiry = now_ + state.doc.time_left;
+        state.transmissions = state.doc.transmissions = int(option("tries"));
+        state.may_have_run = state.doc.may_have_run = options.count("ran") > 0;
+        state.doc.may_have_run_ago = option("ran"), state.first_send = now_ - option("ran");
+        if (state.may_have_run && state.doc.has_key)
+          key_settle_ends_[state.doc.key] = now_ + settings_.order_settle_time;
+        doc_states_[state.doc.id] = state;
+        acceptance_order_.push_back(state.doc.id);
+        decision_->accept(state.doc);
       }
     } else if (verb == "leave") {
-      decision_->begin_shutdown(of("within"));
+      decision_->begin_shutdown(option("within"));
     } else if (verb == "stall") {
-      stalled_until_ = now_ + number(words, "for", 0);
+      stalled_until_ = now_ + number_or(options, "for", 0);
     } else if (verb == "learn") {
-      RouteStatus k;
-      k.per_endpoint = plain.at(1)[0] == 'e', k.route = tag(plain.at(1)), k.retry_after_left = of("wait");
+      RouteStatus status;
+      status.per_endpoint = arguments.at(1)[0] == 'e', status.route = id_number(arguments.at(1)),
+      status.retry_after_left = option("wait");
       const std::map<std::string, RouteState> states{
           {"well", RouteState::healthy}, {"down", RouteState::down}, {"returning", RouteState::recovering}};
-      k.state = states.at(words.count("state") ? words.at("state") : "well"), k.state_age = of("age", 1e9);
-      k.from_this_relay = of("own") > 0, k.rate_before_outage = of("before"), k.rate_limit = of("limit"),
-      k.remaining_share = of("share", 1);
-      k.limit_age = of("limit_age");
-      auto owner = k.per_endpoint ? 1000 + k.route : k.route;
-      waits_[owner] = std::max(waits_[owner], now_ + k.retry_after_left);
-      decision_->apply_route_status(k);
+      status.state = states.at(options.count("state") ? options.at("state") : "well"),
+      status.state_age = option("age", 1e9);
+      status.from_this_relay = option("own") > 0, status.rate_before_outage = option("before"),
+      status.rate_limit = option("limit"), status.remaining_share = option("share", 1);
+      status.limit_age = option("limit_age");
+      auto route = status.per_endpoint ? 1000 + status.route : status.route;
+      retry_after_ends_[route] = std::max(retry_after_ends_[route], now_ + status.retry_after_left);
+      decision_->apply_route_status(status);
     } else if (verb == "knowledge") {
-      told(decision_->route_statuses(words.count("all") > 0));
+      record_statuses(decision_->route_statuses(options.count("all") > 0));
     } else if (verb == "ahead") {
-      bool may = decision_->may_preconnect(EndpointId(tag(plain.at(1))), int(of("up")));
-      ended_[may ? "opened" : "unopened"][DocId(tag(plain.at(1)))] = now_;
+      bool may = decision_->may_preconnect(EndpointId(id_number(arguments.at(1))), int(option("up")));
+      event_times_[may ? "opened" : "unopened"][DocId(id_number(arguments.at(1)))] = now_;
     } else if (verb == "restart") {
-      decision_ = Decision::make(set_, ++seed_);
+      decision_ = Decision::make(settings_, ++seed_);
       decision_->begin_turn(now_);
-      pending_.clear(), known_.clear(), rests_.clear(), waits_.clear();
+      pending_.clear(), doc_states_.clear(), key_settle_ends_.clear(), retry_after_ends_.clear();
     } else if (verb != "endpoint") {
       FAIL() << "unknown event " << verb;
     }
   }
 
-  void turn_end() {
-    if (!open_) return;
-    open_ = false;
-    auto begun = std::clock();
+  void end_turn() {
+    if (!in_turn_) return;
+    in_turn_ = false;
+    auto started = std::clock();
     auto done = decision_->decide();
-    if (tells_) told(decision_->route_statuses(false));
-    cpu_ms_ += 1e3 * double(std::clock() - begun) / CLOCKS_PER_SEC, ++turns_;
-    for (const auto& text : done.log) logs_.push_back(text);
+    if (reports_changes_) record_statuses(decision_->route_statuses(false));
+    cpu_ms_ += 1e3 * double(std::clock() - started) / CLOCKS_PER_SEC, ++turns_;
+    for (const auto& text : done.log) log_lines_.push_back(text);
     for (const auto& r : done.rejected) final_answer(r.doc, true);
     for (DocId d : done.abandoned) final_answer(d, false);
     for (const auto& c : done.canceled)
@@ -209,190 +227,201 @@
           Outcome o = at->second;
           o.result = TransmissionResult::canceled, o.completed = false, o.retry_after = 0;
           pending_.erase(at);
-          pending_.emplace(now_ + set_.tick, o);
+          pending_.emplace(now_ + settings_.tick, o);
           break;
         }
     for (auto [e, idle_least] : done.closed_connections)
-      if (idle_least == 0) used_.erase(e), ended_["closed"][DocId(std::uint64_t(e))] = now_;
-      else ended_["thinned"][DocId(std::uint64_t(e))] = now_;
-    for (EndpointId e : done.forgotten_endpoints) ended_["forgotten"][DocId(std::uint64_t(e))] = now_;
-    if (done.long_poll_wait > 0) ended_["follows"][DocId(ended_["follows"].size())] = now_;
-    struck_.clear();
+      if (idle_least == 0) last_used_.erase(e), event_times_["closed"][DocId(std::uint64_t(e))] = now_;
+      else event_times_["thinned"][DocId(std::uint64_t(e))] = now_;
+    for (EndpointId e : done.forgotten_endpoints) event_times_["forgotten"][DocId(std::uint64_t(e))] = now_;
+    if (done.long_poll_wait > 0) event_times_["follows"][DocId(event_times_["follows"].size())] = now_;
+    broken_this_turn_.clear();
     for (const auto& t : done.transmissions)
-      if (int nth = int(manners_[t.endpoint].nth); nth > 0 && ++docs_[t.endpoint] % nth == 0)
-        struck_.insert(t.endpoint);
+      if (int nth = int(behaviors_[t.endpoint].nth); nth > 0 && ++doc_counts_[t.endpoint] % nth == 0)
+        broken_this_turn_.insert(t.endpoint);
     for (const auto& t : done.transmissions) send(t);
-    wake_ = done.wake_in < 0 ? 1e18 : now_ + std::ceil(std::max(done.wake_in, 1.0) / set_.tick) * set_.tick;
+    next_wakeup_ = done.wake_in < 0
+                       ? 1e18
+                       : now_ + std::ceil(std::max(done.wake_in, 1.0) / settings_.tick) * settings_.tick;
   }
 
-  // As lines that a scenario can look for, as of the log.
-  void told(const std::vector<RouteStatus>& all) {
+  // Formats the statuses as lines that "expect knows" searches.
+  void record_statuses(const std::vector<RouteStatus>& all) {
     const char* states[] = {"well", "down", "returning"};
-    for (const auto& k : all) {
+    for (const auto& status : all) {
       char line[160];
       std::snprintf(line, sizeof line, "%s%llu wait %.0f, %s for %.0f, %.3g before, limit %.3g, %.2g left",
-                    k.per_endpoint ? "e" : "d", static_cast<unsigned long long>(k.route), k.retry_after_left,
-                    states[int(k.state)], std::min(k.state_age, 1e6), k.rate_before_outage, k.rate_limit,
-                    k.remaining_share);
-      knowledge_.push_back({now_, line});
+                    status.per_endpoint ? "e" : "d", static_cast<unsigned long long>(status.route),
+                    status.retry_after_left, states[int(status.state)], std::min(status.state_age, 1e6),
+                    status.rate_before_outage, status.rate_limit, status.remaining_share);
+      status_lines_.push_back({now_, line});
     }
   }
 
   void final_answer(DocId id, bool rejected) {
-    Known& k = known_.at(id);
-    EXPECT_FALSE(k.ended) << "rule 1: a second final answer for " << std::uint64_t(id);
-    EXPECT_LE(now_, k.expiry) << "rule 1: a late final answer for " << std::uint64_t(id);
-    auto& t = set_.doc_types.at(std::size_t(k.doc.type));
+    DocState& state = doc_states_.at(id);
+    EXPECT_FALSE(state.ended) << "a second final answer for " << std::uint64_t(id);
+    EXPECT_LE(now_, state.expiry) << "a final answer after the expiry of " << std::uint64_t(id);
+    auto& t = settings_.doc_types.at(std::size_t(state.doc.type));
     if (rejected && t.retry_safety == RetrySafety::unsafe) {
-      EXPECT_TRUE(!k.may_have_run && k.out == 0) << "rule 2: rejected, yet it may have run";
+      EXPECT_TRUE(!state.may_have_run && state.in_flight == 0) << "rejected, though it may have run";
     }
-    k.ended = true;
-    ended_[rejected ? "rejected" : "abandoned"][id] = now_;
+    state.ended = true;
+    event_times_[rejected ? "rejected" : "abandoned"][id] = now_;
   }
 
   void send(const Transmit& t) {
-    Known& k = known_.at(t.doc);
-    auto& type = set_.doc_types.at(std::size_t(k.doc.type));
-    EXPECT_FALSE(k.ended) << "rule 1: sent after its end";
-    EXPECT_LE(now_, told_off_[t.endpoint]) << "rule 3: sent past the grace of a drain";
-    EXPECT_GE(now_, waits_[owner_[t.endpoint]]) << "rule 6: sent inside a told wait at " << now_;
-    if (k.may_have_run || k.out > 0) {
-      EXPECT_NE(type.retry_safety, RetrySafety::unsafe) << "rule 2: a binding document went again";
+    DocState& state = doc_states_.at(t.doc);
+    auto& type = settings_.doc_types.at(std::size_t(state.doc.type));
+    EXPECT_FALSE(state.ended) << "sent after its final answer";
+    EXPECT_LE(now_, last_send_time_[t.endpoint]) << "sent after the grace period of a drain";
+    EXPECT_GE(now_, retry_after_ends_[route_of_[t.endpoint]])
+        << "sent before the end of a Retry-After, at " << now_;
+    if (state.may_have_run || state.in_flight > 0) {
+      EXPECT_NE(type.retry_safety, RetrySafety::unsafe) << "an unsafe document was sent again";
       if (type.retry_safety == RetrySafety::keyed) {
-        EXPECT_LT(now_, k.first_send + type.idempotency_window) << "rule 2: past the window";
+        EXPECT_LT(now_, state.first_send + type.idempotency_window)
+            << "sent again after the idempotency window";
       }
     }
-    if (type.in_order && k.doc.has_key)
-      for (DocId other : order_) {
+    if (type.in_order && state.doc.has_key)
+      for (DocId other : acceptance_order_) {
         if (other == t.doc) break;
-        auto o = known_.find(other);
-        if (o == known_.end() || !o->second.doc.has_key || o->second.doc.key != k.doc.key) continue;
-        EXPECT_TRUE(o->second.ended && o->second.out == 0) << "rule 5: out of order";
-        if (k.tries == 0) { EXPECT_GE(now_, rests_[k.doc.key]) << "rule 5: the key had to rest"; }
+        auto o = doc_states_.find(other);
+        if (o == doc_states_.end() || !o->second.doc.has_key || o->second.doc.key != state.doc.key) continue;
+        EXPECT_TRUE(o->second.ended && o->second.in_flight == 0) << "out of order";
+        if (state.transmissions == 0) {
+          EXPECT_GE(now_, key_settle_ends_[state.doc.key])
+              << "sent before the settle time of its key was over";
+        }
       }
-    if (!k.may_have_run && k.out == 0) k.first_send = now_;
-    sent_.push_back({now_, t.doc, t.endpoint, k.tries});
-    Manner m = manners_[t.endpoint];
-    auto bundle = std::make_pair(now_, t.endpoint);
-    if (m.every > 1 && !bundled_.count(bundle) && ++counts_[t.endpoint] % int(m.every) != 0)
-      m.ending = "answered";
-    bundled_.insert(bundle);
-    if (m.idle > 0 && used_.count(t.endpoint) && now_ > used_[t.endpoint] + m.idle)
-      m.ending = "broken", m.after = 10;
-    if (struck_.count(t.endpoint)) m.ending = "broken";
-    auto there = [&](const auto& out) { return out.second.endpoint == t.endpoint; };
-    if (double(std::count_if(pending_.begin(), pending_.end(), there)) >= m.queue)
-      m.ending = "refused", m.after = 10;
-    used_[t.endpoint] = now_;
-    bool late = m.ending == "silent" || (t.timeout > 0 && m.after >= t.timeout);
+    if (!state.may_have_run && state.in_flight == 0) state.first_send = now_;
+    sent_.push_back({now_, t.doc, t.endpoint, state.transmissions});
+    Behavior behavior = behaviors_[t.endpoint];
+    auto batch = std::make_pair(now_, t.endpoint);
+    if (behavior.every > 1 && !batches_.count(batch) && ++call_counts_[t.endpoint] % int(behavior.every) != 0)
+      behavior.answer = "answered";
+    batches_.insert(batch);
+    if (behavior.idle > 0 && last_used_.count(t.endpoint) && now_ > last_used_[t.endpoint] + behavior.idle)
+      behavior.answer = "broken", behavior.after = 10;
+    if (broken_this_turn_.count(t.endpoint)) behavior.answer = "broken";
+    auto to_endpoint = [&](const auto& out) { return out.second.endpoint == t.endpoint; };
+    if (double(std::count_if(pending_.begin(), pending_.end(), to_endpoint)) >= behavior.queue)
+      behavior.answer = "refused", behavior.after = 10;
+    last_used_[t.endpoint] = now_;
+    bool late = behavior.answer == "silent" || (t.timeout > 0 && behavior.after >= t.timeout);
     Outcome o;
-    o.doc = t.doc, o.transmission = k.tries++, o.endpoint = t.endpoint;
-    o.result = late ? TransmissionResult::timed_out : endings.at(m.ending);
-    o.duration = late ? (t.timeout > 0 ? t.timeout : k.expiry - now_) : m.after;
-    if (o.result == TransmissionResult::refused) o.retry_after = m.wait;
-    if (m.ending == "turned_away") o.connection_idle_time = 0, o.connection_closed = true;
-    if (m.limit >= 0) o.hints = {true, m.share, m.limit};
-    ++k.out;
-    pending_.emplace(now_ + std::ceil(o.duration / set_.tick) * set_.tick, o);
+    o.doc = t.doc, o.transmission = state.transmissions++, o.endpoint = t.endpoint;
+    o.result = late ? TransmissionResult::timed_out : results_by_name.at(behavior.answer);
+    o.duration = late ? (t.timeout > 0 ? t.timeout : state.expiry - now_) : behavior.after;
+    if (o.result == TransmissionResult::refused) o.retry_after = behavior.wait;
+    if (behavior.answer == "turned_away") o.connection_idle_time = 0, o.connection_closed = true;
+    if (behavior.limit >= 0) o.hints = {true, behavior.share, behavior.limit};
+    ++state.in_flight;
+    pending_.emplace(now_ + std::ceil(o.duration / settings_.tick) * settings_.tick, o);
   }
 
   void run_until(Millis time) {
     while (true) {
-      Millis next = std::min(wake_, pending_.empty() ? 1e18 : pending_.begin()->first);
+      Millis next = std::min(next_wakeup_, pending_.empty() ? 1e18 : pending_.begin()->first);
       next = std::max(next, stalled_until_);
       if (next >= time) return;
       now_ = std::max(now_, next);
-      decision_->begin_turn(now_), open_ = true;
+      decision_->begin_turn(now_), in_turn_ = true;
       while (!pending_.empty() && pending_.begin()->first <= now_) {
         Outcome o = pending_.begin()->second;
         pending_.erase(pending_.begin());
-        Known& k = known_.at(o.doc);
-        --k.out;
-        o.completed = k.ended || o.result == TransmissionResult::answered;
-        if (o.result == TransmissionResult::answered && !k.ended) ended_["answered"][o.doc] = now_;
-        k.ended = o.completed;
+        DocState& state = doc_states_.at(o.doc);
+        --state.in_flight;
+        o.completed = state.ended || o.result == TransmissionResult::answered;
+        if (o.result == TransmissionResult::answered && !state.ended) event_times_["answered"][o.doc] = now_;
+        state.ended = o.completed;
         if (o.result != TransmissionResult::refused && o.result != TransmissionResult::not_connected)
-          k.may_have_run = true;
+          state.may_have_run = true;
         if (o.result == TransmissionResult::timed_out || o.result == TransmissionResult::connection_lost)
-          rests_[k.doc.key] = now_ + set_.order_settle_time;
+          key_settle_ends_[state.doc.key] = now_ + settings_.order_settle_time;
         if (o.retry_after > 0)
-          waits_[owner_[o.endpoint]] = std::max(waits_[owner_[o.endpoint]], now_ + o.retry_after);
+          retry_after_ends_[route_of_[o.endpoint]] =
+              std::max(retry_after_ends_[route_of_[o.endpoint]], now_ + o.retry_after);
         decision_->outcome(o);
       }
-      turn_end();
+      end_turn();
     }
   }
 
-  static double cpu_unit() {  // what this machine takes for a thousand steps of a list
+  // The CPU time that this machine needs for a thousand steps through a list, in ms.
+  static double cpu_unit() {
     std::map<int, double> list;
     for (int i = 0; i < 10000; ++i) list[i * 7919 % 10007] = i;
     double sum = 0;
-    auto begun = std::clock();
+    auto started = std::clock();
     for (int round = 0; round < 50; ++round)
       for (auto& [key, value] : list) sum += value = std::exp2(-value / 10000);
-    return sum > 0 ? 1e3 * double(std::clock() - begun) / CLOCKS_PER_SEC / 500 : 1;
+    return sum > 0 ? 1e3 * double(std::clock() - started) / CLOCKS_PER_SEC / 500 : 1;
   }
 
-  void expect(const std::vector<std::string>& plain, const Words& words, const std::string& text) {
-    const std::string& what = plain.at(0);
-    Millis from = number(words, "from", 0), to = number(words, "to", 1e18);
+  void expect(const std::vector<std::string>& arguments, const Options& options, const std::string& text) {
+    const std::string& what = arguments.at(0);
+    Millis from = number_or(options, "from", 0), to = number_or(options, "to", 1e18);
     double count = 0;
     auto within = [&](Millis at) { return at >= from && at <= to; };
-    auto ends = [&](const std::map<DocId, Millis>& of) {
-      for (auto& [id, when] : of) count += within(when) && (plain.size() < 2 || DocId(tag(plain[1])) == id);
+    auto ends = [&](const std::map<DocId, Millis>& times) {
+      for (auto& [id, when] : times)
+        count += within(when) && (arguments.size() < 2 || DocId(id_number(arguments[1])) == id);
     };
     if (what == "sends" || what == "calls") {
       std::set<std::pair<Millis, EndpointId>> calls;
       for (const auto& s : sent_)
-        if (within(s.at) && (!words.count("doc") || DocId(number(words, "doc", 0)) == s.doc) &&
-            (!words.count("try") || int(number(words, "try", 0)) == s.transmission + 1) &&
-            (!words.count("endpoint") || EndpointId(tag(words.at("endpoint"))) == s.endpoint))
+        if (within(s.at) && (!options.count("doc") || DocId(number_or(options, "doc", 0)) == s.doc) &&
+            (!options.count("try") || int(number_or(options, "try", 0)) == s.transmission + 1) &&
+            (!options.count("endpoint") || EndpointId(id_number(options.at("endpoint"))) == s.endpoint))
           ++count, calls.emplace(s.at, s.endpoint);
       if (what == "calls") count = double(calls.size());
     } else if (what == "cpu") count = cpu_ms_ / turns_ / cpu_unit();
-    else if (ended_.count(what)) ends(ended_[what]);
+    else if (event_times_.count(what)) ends(event_times_[what]);
     else if (what == "log" || what == "nolog") {
-      std::string wanted = text.substr(text.find("log ") + 4);
-      for (const auto& line : logs_) count += line.find(wanted) != std::string::npos;
+      std::string expected = text.substr(text.find("log ") + 4);
+      for (const auto& line : log_lines_) count += line.find(expected) != std::string::npos;
       EXPECT_EQ(count > 0, what == "log") << text;
       return;
     } else if (what == "knows") {
-      std::string wanted = text.substr(text.find("\"") + 1);
-      wanted = wanted.substr(0, wanted.find("\""));
-      for (const auto& [when, line] : knowledge_)
-        count += within(when) && line.find(wanted) != std::string::npos;
+      std::string expected = text.substr(text.find("\"") + 1);
+      expected = expected.substr(0, expected.find("\""));
+      for (const auto& [when, line] : status_lines_)
+        count += within(when) && line.find(expected) != std::string::npos;
     } else FAIL() << "unknown expectation: " << text;
-    EXPECT_GE(count, number(words, "least", words.count("most") ? 0 : 1)) << text;
-    EXPECT_LE(count, number(words, "most", 1e9)) << text;
+    EXPECT_GE(count, number_or(options, "least", options.count("most") ? 0 : 1)) << text;
+    EXPECT_LE(count, number_or(options, "most", 1e9)) << text;
   }
 
-  Settings set_;
+  Settings settings_;
   std::uint64_t seed_ = 7;
   std::unique_ptr<Decision> decision_;
-  Millis now_ = 0, wake_ = 1e18, stalled_until_ = 0;
-  bool open_ = false, tells_ = false;
+  Millis now_ = 0, next_wakeup_ = 1e18, stalled_until_ = 0;
+  bool in_turn_ = false, reports_changes_ = false;
   double cpu_ms_ = 0, turns_ = 0;
-  std::map<EndpointId, Manner> manners_;
-  std::map<EndpointId, Millis> told_off_;
-  std::map<EndpointId, std::uint64_t> owner_;
-  std::map<EndpointId, int> counts_, docs_;
-  std::set<EndpointId> struck_;  // this turn's call there breaks
-  std::map<EndpointId, Millis> used_;
-  std::set<std::pair<Millis, EndpointId>> bundled_;
-  std::map<std::uint64_t, Millis> waits_;
-  std::map<KeyId, Millis> rests_;
-  std::map<DocId, Known> known_;
-  std::vector<DocId> order_;
+  std::map<EndpointId, Behavior> behaviors_;
+  std::map<EndpointId, Millis> last_send_time_;  // the latest at which a call may be sent there
+  std::map<EndpointId, std::uint64_t> route_of_;
+  std::map<EndpointId, int> call_counts_, doc_counts_;
+  std::set<EndpointId> broken_this_turn_;  // endpoints whose call of this turn loses its connection
+  std::map<EndpointId, Millis> last_used_;
+  std::set<std::pair<Millis, EndpointId>>
+      batches_;  // documents sent to one endpoint in one turn share a call
+  std::map<std::uint64_t, Millis> retry_after_ends_;
+  std::map<KeyId, Millis> key_settle_ends_;
+  std::map<DocId, DocState> doc_states_;
+  std::vector<DocId> acceptance_order_;
   std::multimap<Millis, Outcome> pending_;
-  std::vector<Sent> sent_;
-  std::map<std::string, std::map<DocId, Millis>> ended_{{"answered", {}}, {"rejected", {}}, {"abandoned", {}},
-                                                        {"closed", {}},   {"thinned", {}},  {"forgotten", {}},
-                                                        {"follows", {}},  {"opened", {}},   {"unopened", {}}};
-  std::vector<std::string> logs_;
-  std::vector<std::pair<Millis, std::string>> knowledge_;
+  std::vector<SentTransmission> sent_;
+  std::map<std::string, std::map<DocId, Millis>> event_times_{
+      {"answered", {}},  {"rejected", {}}, {"abandoned", {}}, {"closed", {}},  {"thinned", {}},
+      {"forgotten", {}}, {"follows", {}},  {"opened", {}},    {"unopened", {}}};
+  std::vector<std::string> log_lines_;
+  std::vector<std::pair<Millis, std::string>> status_lines_;
 };
 
-// What a parser makes of a text: "resp TEXT => ..." and "http TEXT => ...".
+// Formats what a parser returns for a text: "resp TEXT => ...", "http TEXT => ..." and base64.
 std::string parsed(const std::string& parser, const std::string& text) {
   const char* states[] = {"partial", "whole", "malformed"};
   std::ostringstream out;
@@ -417,9 +446,9 @@
 TEST_P(Scenario, Plays) {
   std::ifstream in(GetParam());
   if (GetParam().extension() == ".wire") {
-    std::string text, wanted, line;
-    auto play = [&] {
-      if (wanted.empty()) return;
+    std::string text, expected, line;
+    auto check_case = [&] {
+      if (expected.empty()) return;
       std::istringstream input(text);
       std::ostringstream output;
       wire::Host host(input, output);
@@ -429,13 +458,13 @@
       } catch (const wire::ParseError& fault) {
         got = "line " + std::to_string(host.line_number()) + ": " + fault.what();
       }
-      EXPECT_EQ(got.substr(0, wanted.size()), wanted) << text;
+      EXPECT_EQ(got.substr(0, expected.size()), expected) << text;
     };
     while (std::getline(in, line)) {
-      if (line.rfind("== ", 0) == 0) play(), wanted = line.substr(3), text.clear();
+      if (line.rfind("== ", 0) == 0) check_case(), expected = line.substr(3), text.clear();
       else text += line + "\n";
     }
-    return play();
+    return check_case();
   }
   if (GetParam().extension() == ".parse") {
     for (std::string line; std::getline(in, line);) {
@@ -450,11 +479,11 @@
   }
   if (GetParam().extension() == ".relay") {
     StandIn stand_in;
-    for (std::string line; std::getline(in, line) && !HasFatalFailure();) stand_in.line(line);
+    for (std::string line; std::getline(in, line) && !HasFatalFailure();) stand_in.run_line(line);
     return;
   }
-  Play play;
-  for (std::string line; std::getline(in, line);) play.line(line);
+  DecisionScenario scenario;
+  for (std::string line; std::getline(in, line);) scenario.run_line(line);
 }
 
 std::vector<std::filesystem::path> scenarios() {
--- a/tests/stand_in.h
+++ b/tests/stand_in.h
@@ -1,6 +1,6 @@
-// A stand-in for everything around one relay: clients, endpoints and the platform's agent, and the process
-// itself, all on loopback sockets and driven by one thread. Plays the socket scenarios (*.relay); their
-// notation is in scenarios/README.txt.
+// A fake of everything around one relay: its clients, its endpoints and the platform's discovery agent. It
+// starts and stops the relay's process, uses loopback sockets and runs on one thread. It runs the socket
+// scenarios (*.relay); scenarios/README.txt describes their language.
 #pragma once
 
 #include <arpa/inet.h>
@@ -38,22 +38,24 @@
 
 namespace rockcrank {
 
-using Words = std::map<std::string, std::string>;
+// The NAME=VALUE words of a scenario line.
+using Options = std::map<std::string, std::string>;
 
-inline double number(const Words& words, const std::string& name, double absent) {
-  auto found = words.find(name);
-  return found == words.end() ? absent : std::stod(found->second);
+inline double number_or(const Options& options, const std::string& name, double fallback) {
+  auto found = options.find(name);
+  return found == options.end() ? fallback : std::stod(found->second);
 }
 
-inline std::string text_or(const Words& words, const std::string& name, const std::string& absent) {
-  auto found = words.find(name);
-  return found == words.end() ? absent : found->second;
+inline std::string text_or(const Options& options, const std::string& name, const std::string& fallback) {
+  auto found = options.find(name);
+  return found == options.end() ? fallback : found->second;
 }
 
 inline bool contains(const std::string& text, const std::string& part) {
   return text.find(part) != std::string::npos;
 }
 
+// Resolves \r, \n, \s (space) and \0; a backslash before another character is dropped.
 inline std::string unescaped(const std::string& text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -70,7 +72,7 @@
 class StandIn {
  public:
   using Json = nlohmann::json;
-  static constexpr int small_window = 4096;  // bytes that a client which does not read takes in
+  static constexpr int small_receive_buffer = 4096;  // bytes, for a client that doesn't read
 
   StandIn() {
     char name[] = "/tmp/rockcrank-test-XXXXXX";
@@ -88,11 +90,11 @@
         {"name":"binding","goalTimeUs":2000000,"deadlineUs":20000000,"lateWorth":0.3,"repeat":"unsafe"}]})");
   }
   ~StandIn() {
-    end_process(SIGKILL);
-    if (old_ > 0) ::kill(old_, SIGCONT), ::kill(old_, SIGKILL), waitpid(old_, nullptr, 0);
-    if (passed_ >= 0) ::close(passed_);
-    pose({{"gone", "1"}});
-    for (auto& [fd, peer] : peers_) ::close(fd);
+    signal_process(SIGKILL);
+    if (old_pid_ > 0) ::kill(old_pid_, SIGCONT), ::kill(old_pid_, SIGKILL), waitpid(old_pid_, nullptr, 0);
+    if (passed_socket_ >= 0) ::close(passed_socket_);
+    request_unconfirmed_handover({{"gone", "1"}});
+    for (auto& [fd, connection] : connections_) ::close(fd);
     for (auto& [name, endpoint] : endpoints_) {
       if (endpoint.listener >= 0) ::close(endpoint.listener);
     }
@@ -100,59 +102,61 @@
     std::filesystem::remove_all(folder_);
   }
 
-  // One more relay, with an agent and clients of its own: both go on together.
-  StandIn& also() {
-    if (!also_) also_ = std::make_unique<StandIn>(), also_->beside_ = this, beside_ = also_.get();
-    return *also_;
+  // A second relay with an agent and clients of its own; the events of both are processed together.
+  StandIn& second_relay() {
+    if (!second_) second_ = std::make_unique<StandIn>(), second_->other_ = this, other_ = second_.get();
+    return *second_;
   }
 
-  void line(const std::string& text) {
-    if (text.starts_with("also ")) return also().line(text.substr(5));
+  void run_line(const std::string& text) {
+    if (text.starts_with("also ")) return second_relay().run_line(text.substr(5));
     std::istringstream in(text);
-    std::vector<std::string> plain;
-    Words words;
+    std::vector<std::string> arguments;
+    Options options;
     for (std::string word; in >> word;) {
       auto equals = word.find('=');
-      if (plain.empty() || equals == std::string::npos || plain[0] == "say" || plain[0] == "hear")
-        plain.push_back(word);
-      else words[word.substr(0, equals)] = word.substr(equals + 1);
+      if (arguments.empty() || equals == std::string::npos || arguments[0] == "say" || arguments[0] == "hear")
+        arguments.push_back(word);
+      else options[word.substr(0, equals)] = word.substr(equals + 1);
     }
-    if (plain.empty() || plain[0][0] == '#') return;
+    if (arguments.empty() || arguments[0][0] == '#') return;
     SCOPED_TRACE(text);
-    obey(plain, words, text);
+    execute(arguments, options, text);
   }
 
  private:
   struct Endpoint {
     int listener = -1;
-    std::shared_ptr<ReservedPort> address;  // one for all stand-ins that share the endpoint
+    std::shared_ptr<ReservedPort> address;  // the same for all stand-ins that share the endpoint
     int port() const { return address->port(); }
-    std::string manner = "200";
-    Words how;
-    Json entry;
+    std::string behavior = "200";
+    Options options;
+    Json list_entry;
   };
-  struct Peer {  // an accepted connection, or a client's
-    std::string endpoint, in, out;
-    bool agent = false, client = false, ended = false, used = false, crowded = false, deaf = false;
-    bool unread = false;  // a client that does not read
-    std::int64_t watching = -1;
-    double watch_ends = 0;
+  struct Connection {  // accepted by an endpoint or the agent, or opened by a client
+    std::string endpoint, input, output;
+    bool agent = false, client = false, ended = false, used = false;
+    bool over_limit = false;             // beyond the endpoint's connection cap
+    bool ignored = false;                // requests to the agent get no answer
+    bool not_reading = false;            // a client that doesn't read
+    std::int64_t watched_revision = -1;  // of an open long poll; -1: none
+    double watch_deadline = 0;
   };
-  struct Later {
+  struct ScheduledWrite {
     int fd;
     std::string bytes;
     bool close;
   };
-  struct HeldAnswer {  // to a call, until the scenario lets it go
+  struct HeldAnswer {  // to a call, until the scenario releases it
     std::string endpoint;
-    Later answer;
+    ScheduledWrite answer;
   };
 
   static double now() {
     return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
         .count();
   }
-  // Listens at a port that is reserved, or at any.
+  // Listens on a reserved port; 0: on any free port.
   static int listen_on(int port) {
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), on = 1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
@@ -173,178 +177,187 @@
     getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size);
     return ntohs(at.sin_port);
   }
-  static std::string at(int port) { return "127.0.0.1:" + std::to_string(port); }
+  static std::string address_text(int port) { return "127.0.0.1:" + std::to_string(port); }
 
-  // Goes on until the condition holds or the time is over; says whether it held.
-  bool pump(double within, const std::function<bool()>& until) {
+  // Processes events until the condition holds or the time is over. Returns whether the condition held.
+  bool run_until(double within, const std::function<bool()>& until) {
     double end = now() + within;
     while (true) {
       if (until()) return true;
       if (now() >= end) return false;
-      turn();
-      if (beside_) beside_->turn();
+      poll_once();
+      if (other_) other_->poll_once();
     }
   }
-  void turn() {
+  void poll_once() {
     std::vector<pollfd> polled;
     if (!agent_silent_) polled.push_back({agent_, POLLIN, 0});
     for (auto& [name, endpoint] : endpoints_)
-      if (endpoint.listener >= 0 && endpoint.manner != "deaf")
+      if (endpoint.listener >= 0 && endpoint.behavior != "deaf")
         polled.push_back({endpoint.listener, POLLIN, 0});
-    for (auto& [fd, peer] : peers_)
-      if (!peer.ended)
-        polled.push_back(
-            {fd, static_cast<short>((peer.unread ? 0 : POLLIN) | (peer.out.empty() ? 0 : POLLOUT)), 0});
+    for (auto& [fd, connection] : connections_)
+      if (!connection.ended)
+        polled.push_back({fd,
+                          static_cast<short>((connection.not_reading ? 0 : POLLIN) |
+                                             (connection.output.empty() ? 0 : POLLOUT)),
+                          0});
     poll(polled.data(), polled.size(), 2);
     for (auto& one : polled)
-      if (one.revents != 0) ready(one.fd, one.revents);
-    for (auto& [fd, peer] : peers_)
-      if (peer.agent && peer.watching >= 0 && now() >= peer.watch_ends) tell_list(fd);
-    while (!later_.empty() && later_.begin()->first <= now()) {
-      auto due = later_.begin()->second;
-      later_.erase(later_.begin());
-      auto peer = peers_.find(due.fd);
-      if (peer == peers_.end()) continue;
-      peer->second.out += due.bytes;
-      write(due.fd, peer->second);
-      if (due.close) drop(due.fd);
+      if (one.revents != 0) on_ready(one.fd, one.revents);
+    for (auto& [fd, connection] : connections_)
+      if (connection.agent && connection.watched_revision >= 0 && now() >= connection.watch_deadline)
+        send_list(fd);
+    while (!scheduled_writes_.empty() && scheduled_writes_.begin()->first <= now()) {
+      auto due = scheduled_writes_.begin()->second;
+      scheduled_writes_.erase(scheduled_writes_.begin());
+      auto found = connections_.find(due.fd);
+      if (found == connections_.end()) continue;
+      found->second.output += due.bytes;
+      write(due.fd, found->second);
+      if (due.close) close_connection(due.fd);
     }
   }
 
-  void ready(int fd, short events) {
-    if (fd == agent_) return accept_one(fd, "", true);
+  void on_ready(int fd, short events) {
+    if (fd == agent_) return accept_connection(fd, "", true);
     for (auto& [name, endpoint] : endpoints_)
-      if (endpoint.listener == fd) return accept_one(fd, name, false);
-    auto found = peers_.find(fd);
-    if (found == peers_.end()) return;
-    Peer& peer = found->second;
-    if (events & POLLOUT) write(fd, peer);
-    if (peer.unread || !(events & (POLLIN | POLLHUP | POLLERR))) return;
+      if (endpoint.listener == fd) return accept_connection(fd, name, false);
+    auto found = connections_.find(fd);
+    if (found == connections_.end()) return;
+    Connection& connection = found->second;
+    if (events & POLLOUT) write(fd, connection);
+    if (connection.not_reading || !(events & (POLLIN | POLLHUP | POLLERR))) return;
     char bytes[65536];
     auto count = recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
     if (count <= 0) {
-      if (peer.client) return void(peer.ended = true);
-      ++closed_by_relay_[peer.endpoint];
-      return drop(fd);
+      if (connection.client) return void(connection.ended = true);
+      ++closed_by_relay_[connection.endpoint];
+      return close_connection(fd);
     }
-    peer.in.append(bytes, static_cast<std::size_t>(count));
-    if (!peer.client) serve(fd, peer);
+    connection.input.append(bytes, static_cast<std::size_t>(count));
+    if (!connection.client) handle_requests(fd, connection);
   }
-  void accept_one(int listener, const std::string& endpoint, bool agent) {
+  void accept_connection(int listener, const std::string& endpoint, bool agent) {
     int fd = accept4(listener, nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
     if (fd < 0) return;
-    ++connections_[endpoint];
-    peers_[fd].endpoint = endpoint, peers_[fd].agent = agent;
-    auto here = std::count_if(peers_.begin(), peers_.end(), [&](const auto& other) {
-      return !other.second.client && !other.second.crowded && other.second.endpoint == endpoint;
+    ++accepted_counts_[endpoint];
+    connections_[fd].endpoint = endpoint, connections_[fd].agent = agent;
+    auto open_count = std::count_if(connections_.begin(), connections_.end(), [&](const auto& other) {
+      return !other.second.client && !other.second.over_limit && other.second.endpoint == endpoint;
     });
-    peers_[fd].crowded = !agent && double(here) > number(endpoints_.at(endpoint).how, "conns", 1e9);
+    connections_[fd].over_limit =
+        !agent && double(open_count) > number_or(endpoints_.at(endpoint).options, "conns", 1e9);
   }
-  void write(int fd, Peer& peer) {
-    auto count = ::send(fd, peer.out.data(), peer.out.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (count > 0) peer.out.erase(0, static_cast<std::size_t>(count));
+  void write(int fd, Connection& connection) {
+    auto count = ::send(fd, connection.output.data(), connection.output.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+    if (count > 0) connection.output.erase(0, static_cast<std::size_t>(count));
   }
-  void drop(int fd, bool reset = false) {
-    linger hard{1, 0};
-    if (reset) setsockopt(fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+  void close_connection(int fd, bool reset = false) {
+    linger reset_on_close{1, 0};
+    if (reset) setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     ::close(fd);
-    peers_.erase(fd);
-    // Guards against an answer that is written on the next connection, which may get the same descriptor.
-    std::erase_if(later_, [&](const auto& due) { return due.second.fd == fd; });
+    connections_.erase(fd);
+    // The next connection may get the same descriptor: it must not receive answers scheduled for this one.
+    std::erase_if(scheduled_writes_, [&](const auto& due) { return due.second.fd == fd; });
     std::erase_if(held_answers_, [&](const auto& held) { return held.answer.fd == fd; });
   }
 
-  void serve(int fd, Peer& peer) {
+  void handle_requests(int fd, Connection& connection) {
     while (true) {
-      auto head = peer.in.find("\r\n\r\n");
+      auto head = connection.input.find("\r\n\r\n");
       if (head == std::string::npos) return;
-      auto text = peer.in.substr(0, head + 2);
+      auto text = connection.input.substr(0, head + 2);
       auto length = text.find("Content-Length: ");
       std::size_t size = length == std::string::npos ? 0 : std::stoul(text.substr(length + 16));
-      if (peer.in.size() < head + 4 + size) return;
-      auto body = peer.in.substr(head + 4, size);
-      peer.in.erase(0, head + 4 + size);
-      if (peer.agent ? !told(fd, peer, text, body) : !called(fd, peer, text, body)) return;
+      if (connection.input.size() < head + 4 + size) return;
+      auto body = connection.input.substr(head + 4, size);
+      connection.input.erase(0, head + 4 + size);
+      if (connection.agent ? !handle_agent_request(fd, connection, text, body)
+                           : !handle_call(fd, connection, text, body))
+        return;
     }
   }
 
-  bool told(int fd, Peer& peer, const std::string& head, const std::string& body) {
+  bool handle_agent_request(int fd, Connection& connection, const std::string& head,
+                            const std::string& body) {
     if (agent_silent_) return true;
-    if (head.rfind("GET /v1/servers?after=", 0) == 0) asked_after_ = std::stoll(head.substr(22));
-    if (peer.deaf) return true;
+    if (head.rfind("GET /v1/servers?after=", 0) == 0) requested_after_ = std::stoll(head.substr(22));
+    if (connection.ignored) return true;
     bool lists = head.rfind("GET /v1/servers", 0) == 0;
-    asked_ += lists, asked_whole_ += lists && head.find('?') > head.find('\r');
+    list_requests_ += lists, full_list_requests_ += lists && head.find('?') > head.find('\r');
     if (lists && agent_busy_) {
-      later_.emplace(now(), Later{fd, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false});
+      scheduled_writes_.emplace(now(),
+                                ScheduledWrite{fd, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", false});
       return true;
     }
     if (head.rfind("POST /reports ", 0) == 0) {
       std::istringstream lines(body);
       for (std::string one; std::getline(lines, one);) {
-        auto notice = Json::parse(one);
-        notices_[notice.at("id").get<std::string>()].push_back(notice);
+        auto report = Json::parse(one);
+        reports_[report.at("id").get<std::string>()].push_back(report);
       }
-      later_.emplace(now(), Later{fd, "HTTP/1.1 204 No Content\r\n\r\n", false});
+      scheduled_writes_.emplace(now(), ScheduledWrite{fd, "HTTP/1.1 204 No Content\r\n\r\n", false});
     } else if (head.rfind("GET /v1/servers ", 0) == 0) {
-      tell_list(fd);
+      send_list(fd);
     } else if (head.rfind("GET /v1/servers?after=", 0) == 0) {
-      peer.watching = std::stoll(head.substr(22));
-      peer.watch_ends = now() + std::stod(head.substr(head.find("wait_ms=") + 8));
-      if (peer.watching < revision_) tell_list(fd);
+      connection.watched_revision = std::stoll(head.substr(22));
+      connection.watch_deadline = now() + std::stod(head.substr(head.find("wait_ms=") + 8));
+      if (connection.watched_revision < revision_) send_list(fd);
     } else {
-      ADD_FAILURE() << "the agent was asked: " << head;
+      ADD_FAILURE() << "unexpected request to the agent: " << head;
     }
     return true;
   }
-  Json list() const {
+  Json endpoint_list() const {
     Json list{{"rev", revision_}, {"all", true}, {"targets", Json::array()}};
-    for (const auto& [name, endpoint] : endpoints_) list["targets"].push_back(endpoint.entry);
+    for (const auto& [name, endpoint] : endpoints_) list["targets"].push_back(endpoint.list_entry);
     return list;
   }
-  void tell_list(int fd) {
-    peers_.at(fd).watching = -1;
-    auto spoilt = std::exchange(spoil_next_, "");
-    auto body = spoilt_list(spoilt).dump(1);
-    if (spoilt == "cut") body.resize(body.size() / 2);
+  void send_list(int fd) {
+    connections_.at(fd).watched_revision = -1;
+    auto fault = std::exchange(next_list_fault_, "");
+    auto body = faulty_list(fault).dump(1);
+    if (fault == "cut") body.resize(body.size() / 2);
     auto text = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-    auto sent = spoilt == "head"   ? text.size() - body.size()
-                : spoilt == "half" ? text.size() - body.size() / 2
-                                   : text.size();
-    if (spoilt == "end") sent = 0;
-    later_.emplace(now(), Later{fd, text.substr(0, sent), spoilt == "end"});
-    held_back_[fd] = text.substr(sent);
-    spoilt_ += !spoilt.empty();
-  }
-  Json spoilt_list(const std::string& how) const {
-    Json told = list();
-    if (how == "older") told["rev"] = revision_ - 2, told["all"] = false;
-    if (how == "older" || how == "empty") told["targets"] = Json::array();
-    if (how == "twice") {
-      auto after = told["targets"];
-      for (auto& target : told["targets"]) target["state"] = "Gone";
-      told["all"] = false;
-      told["targets"].insert(told["targets"].end(), after.begin(), after.end());
+    auto sent = fault == "head"   ? text.size() - body.size()
+                : fault == "half" ? text.size() - body.size() / 2
+                                  : text.size();
+    if (fault == "end") sent = 0;
+    scheduled_writes_.emplace(now(), ScheduledWrite{fd, text.substr(0, sent), fault == "end"});
+    withheld_[fd] = text.substr(sent);
+    faulty_lists_sent_ += !fault.empty();
+  }
+  Json faulty_list(const std::string& fault) const {
+    Json result = endpoint_list();
+    if (fault == "older") result["rev"] = revision_ - 2, result["all"] = false;
+    if (fault == "older" || fault == "empty") result["targets"] = Json::array();
+    if (fault == "twice") {
+      auto after = result["targets"];
+      for (auto& target : result["targets"]) target["state"] = "Gone";
+      result["all"] = false;
+      result["targets"].insert(result["targets"].end(), after.begin(), after.end());
     }
-    return told;
-  }
-  // What is left of answers that stopped midway, on connections that are still open.
-  void tell_rest() {
-    for (auto& [fd, rest] : std::exchange(held_back_, {}))
-      if (peers_.count(fd) && peers_[fd].agent) later_.emplace(now(), Later{fd, rest, false});
-  }
-  void deafen_agent() {
-    for (auto& [fd, peer] : peers_)
-      if (peer.agent) peer.deaf = true, peer.watching = -1;
-  }
-  void hang_up_agent() {
-    for (auto peer = peers_.begin(); peer != peers_.end();) {
-      auto at = peer++;
-      if (at->second.agent) drop(at->first);
+    return result;
+  }
+  // Sends the rest of responses that stopped midway, on connections that are still open.
+  void send_withheld() {
+    for (auto& [fd, rest] : std::exchange(withheld_, {}))
+      if (connections_.count(fd) && connections_[fd].agent)
+        scheduled_writes_.emplace(now(), ScheduledWrite{fd, rest, false});
+  }
+  void ignore_agent_connections() {
+    for (auto& [fd, connection] : connections_)
+      if (connection.agent) connection.ignored = true, connection.watched_revision = -1;
+  }
+  void close_agent_connections() {
+    for (auto connection = connections_.begin(); connection != connections_.end();) {
+      auto at = connection++;
+      if (at->second.agent) close_connection(at->first);
     }
   }
 
-  bool called(int fd, Peer& peer, const std::string& head, const std::string& body) {
-    Endpoint& endpoint = endpoints_.at(peer.endpoint);
+  bool handle_call(int fd, Connection& connection, const std::string& head, const std::string& body) {
+    Endpoint& endpoint = endpoints_.at(connection.endpoint);
     std::vector<std::string> ids;
     if (head.rfind("POST /v1/messages:batch ", 0) == 0) {
       for (const auto& item : Json::parse(body)) ids.push_back(item.at("id").get<std::string>());
@@ -353,229 +366,239 @@
       auto id = head.find("Request-Id: ") + 12;
       ids.push_back(head.substr(id, head.find('\r', id) - id));
     }
-    for (const auto& id : ids) calls_.push_back({id, peer.endpoint, head + body, who_has_heard()});
-    const auto& manner = endpoint.manner;
-    double after = now() + number(endpoint.how, "after", 0);
-    bool used = std::exchange(peer.used, true);
-    if (manner == "reset" || (used && manner == "200" && endpoint.how.count("fragile")))
-      return drop(fd, true), false;
-    if (manner == "silent") return true;
-    if (peer.crowded) {
-      later_.emplace(now(),
-                     Later{fd, "HTTP/1.1 503 Full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", true});
+    for (const auto& id : ids)
+      calls_.push_back({id, connection.endpoint, head + body, clients_with_answers()});
+    const auto& behavior = endpoint.behavior;
+    double after = now() + number_or(endpoint.options, "after", 0);
+    bool used = std::exchange(connection.used, true);
+    if (behavior == "reset" || (used && behavior == "200" && endpoint.options.count("fragile")))
+      return close_connection(fd, true), false;
+    if (behavior == "silent") return true;
+    if (connection.over_limit) {
+      scheduled_writes_.emplace(
+          now(),
+          ScheduledWrite{fd, "HTTP/1.1 503 Full\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", true});
       return true;
     }
-    auto answer =
-        endpoint.how.count("raw") ? unescaped(endpoint.how.at("raw")) : "HTTP/1.1 " + manner + " Said\r\n";
-    if (!endpoint.how.count("raw")) {
+    auto answer = endpoint.options.count("raw") ? unescaped(endpoint.options.at("raw"))
+                                                : "HTTP/1.1 " + behavior + " Said\r\n";
+    if (!endpoint.options.count("raw")) {
       std::string said;
-      if (ids.size() > 1 && manner == "200") {
+      if (ids.size() > 1 && behavior == "200") {
         auto states = Json::array();
         for (const auto& id : ids)
-          states.push_back({{"id", id}, {"state", endpoint.how.count(id) ? endpoint.how.at(id) : "ok"}});
+          states.push_back(
+              {{"id", id}, {"state", endpoint.options.count(id) ? endpoint.options.at(id) : "ok"}});
         said = states.dump();
       }
-      if (endpoint.how.count("wait")) answer += "Retry-After: " + endpoint.how.at("wait") + "\r\n";
+      if (endpoint.options.count("wait")) answer += "Retry-After: " + endpoint.options.at("wait") + "\r\n";
       answer += "Content-Length: " + std::to_string(said.size()) + "\r\n\r\n" + said;
     }
-    bool close = endpoint.how.count("close") > 0;
-    if (endpoint.how.count("held")) {
-      held_answers_.push_back({peer.endpoint, {fd, answer, close}});
+    bool close = endpoint.options.count("close") > 0;
+    if (endpoint.options.count("held")) {
+      held_answers_.push_back({connection.endpoint, {fd, answer, close}});
       return true;
     }
-    if (number(endpoint.how, "piecewise", 0) > 0)
+    if (number_or(endpoint.options, "piecewise", 0) > 0)
       for (std::size_t i = 0; i < answer.size(); ++i)
-        later_.emplace(after + 2 * double(i),
-                       Later{fd, answer.substr(i, 1), close && i + 1 == answer.size()});
-    else later_.emplace(after, Later{fd, answer, close});
+        scheduled_writes_.emplace(after + 2 * double(i),
+                                  ScheduledWrite{fd, answer.substr(i, 1), close && i + 1 == answer.size()});
+    else scheduled_writes_.emplace(after, ScheduledWrite{fd, answer, close});
     return true;
   }
 
-  // The clients to which an answer has come, read or not, that their scenario has not looked at yet.
-  std::string who_has_heard() const {
+  // The names of clients with received bytes, read from the socket or not, that no hear has consumed yet.
+  std::string clients_with_answers() const {
     std::string names = " ";
     for (const auto& [name, fd] : clients_) {
       int unread = 0;
       if (ioctl(fd, FIONREAD, &unread) != 0) continue;
-      if (unread > 0 || !peers_.at(fd).in.empty()) names += name + " ";
+      if (unread > 0 || !connections_.at(fd).input.empty()) names += name + " ";
     }
     return names;
   }
 
-  // The answers that an endpoint has held go out, or the connections on which they are awaited are reset.
-  void release(const std::string& endpoint, bool reset) {
+  // Sends the answers that an endpoint withheld, or resets the connections that wait for them.
+  void release_answers(const std::string& endpoint, bool reset) {
     for (const auto& held : std::vector<HeldAnswer>(held_answers_)) {
       if (held.endpoint != endpoint) continue;
-      if (reset) drop(held.answer.fd, true);
-      else later_.emplace(now(), held.answer);
+      if (reset) close_connection(held.answer.fd, true);
+      else scheduled_writes_.emplace(now(), held.answer);
     }
     std::erase_if(held_answers_, [&](const auto& held) { return held.endpoint == endpoint; });
   }
 
-  // Connections of nobody, until no further one comes up.
-  void fill_queue(const Endpoint& endpoint) {
+  // Fills the listener's accept queue, so that no further connection is established.
+  void fill_accept_queue(const Endpoint& endpoint) {
     listen(endpoint.listener, 0);
     for (int i = 0; i < 2; ++i) {
       int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
       auto to = loopback(endpoint.port());
       connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to);
-      peers_[fd].client = true;
+      connections_[fd].client = true;
     }
   }
 
-  int client(const std::string& name, int window = 0) { return connected(name, relay_port_.port(), window); }
-  int connected(const std::string& name, int port, int window = 0) {
+  int client_socket(const std::string& name, int receive_buffer = 0) {
+    return connect_client(name, relay_port_.port(), receive_buffer);
+  }
+  int connect_client(const std::string& name, int port, int receive_buffer = 0) {
     if (auto found = clients_.find(name); found != clients_.end()) return found->second;
     int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    if (window > 0) setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &window, sizeof window);
+    if (receive_buffer > 0) setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
     auto to = loopback(port);
     if (connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof to) != 0) {
       ::close(fd);
       return -1;
     }
     fcntl(fd, F_SETFL, O_NONBLOCK);
-    peers_[fd].client = true;
+    connections_[fd].client = true;
     return clients_[name] = fd;
   }
-  void say(const std::string& name, const std::string& bytes) {
-    int fd = client(name);
-    ASSERT_GE(fd, 0) << "the relay takes no connection";
-    peers_[fd].out += bytes;
-    write(fd, peers_[fd]);
+  void send_from(const std::string& name, const std::string& bytes) {
+    int fd = client_socket(name);
+    ASSERT_GE(fd, 0) << "the relay accepts no connection";
+    connections_[fd].output += bytes;
+    write(fd, connections_[fd]);
   }
-  static std::string command(const std::vector<std::string>& words) {
+  static std::string resp_command(const std::vector<std::string>& parts) {
     std::ostringstream out;
-    out << '*' << words.size() << "\r\n";
-    for (const auto& word : words) out << '$' << word.size() << "\r\n" << word << "\r\n";
+    out << '*' << parts.size() << "\r\n";
+    for (const auto& word : parts) out << '$' << word.size() << "\r\n" << word << "\r\n";
     return out.str();
   }
 
-  std::string write_config(const Words& words) {
-    if (text_or(words, "known", "") != "old") known_ = list();
-    if (text_or(words, "known", "") == "none")
-      known_ = {{"rev", -1}, {"all", true}, {"targets", Json::array()}};
+  std::string write_config(const Options& options) {
+    if (text_or(options, "known", "") != "old") known_list_ = endpoint_list();
+    if (text_or(options, "known", "") == "none")
+      known_list_ = {{"rev", -1}, {"all", true}, {"targets", Json::array()}};
     Json config{
         {"name", "r1"},
-        {"listen", at(relay_port_.port())},
-        {"discovery", at(port_of(agent_))},
+        {"listen", address_text(relay_port_.port())},
+        {"discovery", address_text(port_of(agent_))},
         {"seed", "7"},
-        {"limits", {{"sockets", number(words, "sockets", 200)}, {"disk_mb", number(words, "disk", 1)}}},
-        {"known", known_},
+        {"limits",
+         {{"sockets", number_or(options, "sockets", 200)}, {"disk_mb", number_or(options, "disk", 1)}}},
+        {"known", known_list_},
         {"settings", settings_}};
-    if (words.count("admin")) config["admin"] = at(admin_port_.port());
+    if (options.count("admin")) config["admin"] = address_text(admin_port_.port());
     auto path = folder_ + "/config.json";
-    std::ofstream(path) << (words.count("config") ? unescaped(words.at("config")) : config.dump());
+    std::ofstream(path) << (options.count("config") ? unescaped(options.at("config")) : config.dump());
     return path;
   }
-  // One more process beside the one that runs, as an upgrade begins; the one before gets its SIGTERM on the
-  // yes.
-  void replace(const Words& words) {
-    old_ = std::exchange(pid_, -1);
+  // Starts a new process beside the running one, as an upgrade does. The old one gets SIGTERM once the new
+  // one answers HEALTH with done.
+  void start_replacement(const Options& options) {
+    old_pid_ = std::exchange(pid_, -1);
     admin_port_ = ReservedPort();
-    Words again = words;
-    again["passed"] = again["admin"] = again["run"] = "serve";
-    start(again);
-    auto begun = now();
-    while (now() < begun + number(words, "within", 6000)) {
-      auto name = "health" + std::to_string(healths_++);
-      if (connected(name, admin_port_.port()) >= 0) {
-        if (words.count("begun")) return;  // it has read its configuration and asks the one before
-        say(name, "HEALTH\n");
-        pump(500, [&] { return peers_[clients_[name]].ended; });
-        if (peers_[clients_[name]].in == "done\n") {
-          if (!words.count("keep_old")) ::kill(old_, SIGTERM);
+    Options new_options = options;
+    new_options["passed"] = new_options["admin"] = new_options["run"] = "serve";
+    start(new_options);
+    auto started_at = now();
+    while (now() < started_at + number_or(options, "within", 6000)) {
+      auto name = "health" + std::to_string(health_checks_++);
+      if (connect_client(name, admin_port_.port()) >= 0) {
+        if (options.count("begun")) return;  // it has read its configuration and requests the handover
+        send_from(name, "HEALTH\n");
+        run_until(500, [&] { return connections_[clients_[name]].ended; });
+        if (connections_[clients_[name]].input == "done\n") {
+          if (!options.count("keep_old")) ::kill(old_pid_, SIGTERM);
           return;
         }
       }
-      pump(20, [] { return false; });
+      run_until(20, [] { return false; });
     }
-    ADD_FAILURE() << "no yes in time: " << log();
+    ADD_FAILURE() << "the new process did not become ready in time: " << log();
   }
-  // A process before the next one that gives what cannot be read: it has the store's file and goes on.
-  void elder() {
+  // Runs a previous process that hands over an unreadable decision state: it owns the store's file and keeps
+  // running.
+  void run_unreadable_predecessor() {
     pid_ = fork();
     if (pid_ != 0) return;
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     Store store(folder_ + "/state", 1000000);
     auto passed = store.handover_state();
     EventLoop loop;
-    HandoverServer successor(loop, folder_ + "/state");
-    successor.make_payload = [&](const std::string&) {
-      HandoverPayload baggage;
-      baggage.descriptors = {passed.descriptor};
+    HandoverServer server(loop, folder_ + "/state");
+    server.make_payload = [&](const std::string&) {
+      HandoverPayload payload;
+      payload.descriptors = {passed.descriptor};
       Json all{{"form", 1}, {"version", 1}, {"decision", "no state"}};
       all["store"] = {passed.path,       passed.snapshot,      0, passed.last_doc_number,
                       passed.file_bytes, passed.rewrite_needed};
-      Json::to_cbor(all, baggage.state);
-      return baggage;
+      Json::to_cbor(all, payload.state);
+      return payload;
     };
     loop.run();
     _exit(0);
   }
-  // Someone who asks for all as a successor does, and takes it or not.
-  void pose(const Words& words) {
-    if (words.count("gone")) {
-      for (int fd : std::exchange(posing_, {})) ::close(fd);
+  // Requests the handover as a new process does, but never confirms it.
+  void request_unconfirmed_handover(const Options& options) {
+    if (options.count("gone")) {
+      for (int fd : std::exchange(unconfirmed_descriptors_, {})) ::close(fd);
       return;
     }
-    HandoverClient predecessor(folder_ + "/state");
-    auto numbering = words.count("numbering")
-                         ? words.at("numbering")
+    HandoverClient handover_client(folder_ + "/state");
+    auto numbering = options.count("numbering")
+                         ? options.at("numbering")
                          : std::to_string(fnv1a_hash(Json{settings_["skus"], settings_["zones"]}.dump()));
-    auto got = predecessor.request(numbering);
-    EXPECT_EQ(got.has_value(), !words.count("numbering"));
-    if (words.count("silent")) pump(1000, [] { return false; });
-    if (got) posing_ = got->descriptors;
-    if (words.count("kills")) ::kill(pid_, SIGKILL), waitpid(std::exchange(pid_, -1), &status_, 0);
-    if (!words.count("keep")) pose({{"gone", "1"}});
-  }
-  void start(const Words& words) {
-    auto state = folder_ + "/state", path = write_config(words);
+    auto got = handover_client.request(numbering);
+    EXPECT_EQ(got.has_value(), !options.count("numbering"));
+    if (options.count("silent")) run_until(1000, [] { return false; });
+    if (got) unconfirmed_descriptors_ = got->descriptors;
+    if (options.count("kills")) ::kill(pid_, SIGKILL), waitpid(std::exchange(pid_, -1), &status_, 0);
+    if (!options.count("keep")) request_unconfirmed_handover({{"gone", "1"}});
+  }
+  void start(const Options& options) {
+    auto state = folder_ + "/state", path = write_config(options);
     std::filesystem::create_directories(state);
-    auto files = static_cast<rlim_t>(number(words, "files", 0));
-    auto largest = static_cast<rlim_t>(number(words, "file_bytes", 0));
-    bool passed = words.count("passed") > 0;
-    if (passed && passed_ < 0) passed_ = listen_on(relay_port_.port());
-    end_process(SIGKILL);
+    auto files = static_cast<rlim_t>(number_or(options, "files", 0));
+    auto largest = static_cast<rlim_t>(number_or(options, "file_bytes", 0));
+    bool passed = options.count("passed") > 0;
+    if (passed && passed_socket_ < 0) passed_socket_ = listen_on(relay_port_.port());
+    signal_process(SIGKILL);
     halts_ = 0;
     pid_ = fork();
     if (pid_ == 0) {
-      prctl(PR_SET_PDEATHSIG, SIGKILL);  // no relay outlives the tests
+      prctl(PR_SET_PDEATHSIG, SIGKILL);  // ends the relay if the tests end
       setenv("BALANCER_CONFIG", path.c_str(), 1), setenv("BALANCER_STATE", state.c_str(), 1);
-      int log = open((folder_ + "/log").c_str(), O_WRONLY | O_CREAT | (old_ > 0 ? O_APPEND : O_TRUNC), 0600);
+      int log =
+          open((folder_ + "/log").c_str(), O_WRONLY | O_CREAT | (old_pid_ > 0 ? O_APPEND : O_TRUNC), 0600);
       dup2(log, 1), dup2(log, 2);
-      if (passed) dup2(passed_, 3), setenv("BALANCER_PASSED_SOCKET", "3", 1);
-      load_halt(words);
-      close_range(passed ? 4 : 3, ~0u, 0);  // whatever this runner was started with: descriptors are counted
+      if (passed) dup2(passed_socket_, 3), setenv("BALANCER_PASSED_SOCKET", "3", 1);
+      set_fault_environment(options);
+      close_range(passed ? 4 : 3, ~0u, 0);  // descriptors inherited by the test runner would be counted
       rlimit limit{files, files}, size{largest, largest};
       if (files > 0) setrlimit(RLIMIT_NOFILE, &limit);
       if (largest > 0) setrlimit(RLIMIT_FSIZE, &size);
-      execl(PROGRAM, PROGRAM, words.count("run") ? words.at("run").c_str() : "serve", nullptr);
+      execl(PROGRAM, PROGRAM, options.count("run") ? options.at("run").c_str() : "serve", nullptr);
       _exit(127);
     }
-    if (old_ < 0) clients_.clear();
-    if (words.count("config") || words.count("run")) return;
+    if (old_pid_ < 0) clients_.clear();
+    if (options.count("config") || options.count("run")) return;
     auto halted = [&] { return (halts_ += has_halted()) > 0; };
-    bool up = pump(5000, [&] { return halted() || client("first") >= 0; });
+    bool up = run_until(5000, [&] { return halted() || client_socket("first") >= 0; });
     if (halts_ > 0) return;
     ASSERT_TRUE(up) << "the relay does not listen: " << log();
-    say("first", "*1\r\n$4\r\nPING\r\n");
-    EXPECT_TRUE(pump(5000, [&] { return halted() || peers_[clients_["first"]].in == "+PONG\r\n"; })) << log();
-    peers_[clients_["first"]].in.clear();
-  }
-  // Called in the relay's process before it runs: crossings/halt.cpp says what this does there.
-  static void load_halt(const Words& words) {
-    if (!words.count("halt") && !words.count("wall_ahead") && !words.count("fail")) return;
-    auto points = unescaped(text_or(words, "halt", ""));
+    send_from("first", "*1\r\n$4\r\nPING\r\n");
+    EXPECT_TRUE(run_until(5000, [&] {
+      return halted() || connections_[clients_["first"]].input == "+PONG\r\n";
+    })) << log();
+    connections_[clients_["first"]].input.clear();
+  }
+  // Called in the child process before exec: sets the environment that crossings/halt.cpp reads there.
+  static void set_fault_environment(const Options& options) {
+    if (!options.count("halt") && !options.count("wall_ahead") && !options.count("fail")) return;
+    auto points = unescaped(text_or(options, "halt", ""));
     std::replace(points.begin(), points.end(), ';', '\n');
-    auto failures = text_or(words, "fail", "");
+    auto failures = text_or(options, "fail", "");
     std::replace(failures.begin(), failures.end(), ';', '\n');
     setenv("LD_PRELOAD", HALT_LIBRARY, 1);
     setenv("ROCKCRANK_FAIL", failures.c_str(), 1);
     setenv("ROCKCRANK_HALT", points.c_str(), 1);
-    setenv("ROCKCRANK_WALL_AHEAD_MS", text_or(words, "wall_ahead", "0").c_str(), 1);
+    setenv("ROCKCRANK_WALL_AHEAD_MS", text_or(options, "wall_ahead", "0").c_str(), 1);
   }
-  // Whether the process has stopped itself since this was last asked.
+  // Whether the process has stopped itself since the last call.
   bool has_halted() {
     int status = 0;
     return pid_ > 0 && waitpid(pid_, &status, WNOHANG | WUNTRACED) == pid_ && WIFSTOPPED(status);
@@ -591,23 +614,23 @@
     std::ifstream in(folder_ + "/log");
     return std::string(std::istreambuf_iterator<char>(in), std::istreambuf_iterator<char>());
   }
-  bool has_ended() {
+  bool has_exited() {
     if (pid_ > 0 && waitpid(pid_, &status_, WNOHANG) == pid_) pid_ = -1;
     return pid_ < 0;
   }
-  void end_process(int signal) {
-    if (has_ended()) return;
+  void signal_process(int signal) {
+    if (has_exited()) return;
     ::kill(pid_, signal);
     if (signal != SIGKILL) return;
     waitpid(pid_, &status_, 0);
     pid_ = -1;
   }
 
-  // The store's records as version 0.2.0 wrote them: a document's without its type and allowance.
-  void age() {
+  // Rewrites the store's records as version 0.2.0 wrote them: documents without type and allowance.
+  void rewrite_store_as_0_2_0() {
     auto path = folder_ + "/state/held";
     std::ifstream in(path, std::ios::binary);
-    std::string old((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>()), aged;
+    std::string old((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>()), rewritten;
     constexpr std::size_t head = 8, added = 39, end = 9;
     for (std::size_t at = 0; at < old.size();) {
       std::uint32_t size = 0;
@@ -617,209 +640,216 @@
       if (inner[0] == 'D') inner.erase(inner.size() - end - added, added), inner[0] = 'T';
       std::uint32_t parts[2] = {static_cast<std::uint32_t>(inner.size()),
                                 static_cast<std::uint32_t>(fnv1a_hash(inner) >> 7)};
-      aged.append(reinterpret_cast<const char*>(parts), sizeof parts).append(inner);
+      rewritten.append(reinterpret_cast<const char*>(parts), sizeof parts).append(inner);
     }
-    std::ofstream(path, std::ios::binary) << aged;
+    std::ofstream(path, std::ios::binary) << rewritten;
   }
 
-  void obey(const std::vector<std::string>& plain, const Words& words, const std::string& text) {
-    const auto& verb = plain[0];
+  void execute(const std::vector<std::string>& arguments, const Options& options, const std::string& text) {
+    const auto& verb = arguments[0];
     auto rest_of = [&](std::size_t skipped) {
       std::size_t from = 0;
       for (std::size_t i = 0; i < skipped; ++i) from = text.find(' ', text.find_first_not_of(' ', from));
       return unescaped(text.substr(from + 1));
     };
     if (verb == "set") {
-      auto pointer = Json::json_pointer("/" + plain.at(1));
-      settings_[pointer] = Json::parse(plain.at(2));
+      auto pointer = Json::json_pointer("/" + arguments.at(1));
+      settings_[pointer] = Json::parse(arguments.at(2));
     } else if (verb == "endpoint") {
-      Endpoint& endpoint = endpoints_[plain.at(1)];
-      bool shared = words.count("shared") > 0;  // the other relay's stand-in answers there
-      if (shared) endpoint.address = beside_->endpoints_.at(plain[1]).address;
-      bool down = plain.size() > 2 && plain[2] == "down";
+      Endpoint& endpoint = endpoints_[arguments.at(1)];
+      bool shared = options.count("shared") > 0;  // the other stand-in listens there
+      if (shared) endpoint.address = other_->endpoints_.at(arguments[1]).address;
+      bool down = arguments.size() > 2 && arguments[2] == "down";
       if (!endpoint.address) {
         endpoint.address = std::make_shared<ReservedPort>();
         endpoint.listener = listen_on(endpoint.port());
       }
       if (down && endpoint.listener >= 0) {
         ::close(std::exchange(endpoint.listener, -1));
-        for (auto peer = peers_.begin(); peer != peers_.end();) {
-          auto at = peer++;
-          if (at->second.endpoint == plain[1] && !at->second.client) drop(at->first, true);
+        for (auto connection = connections_.begin(); connection != connections_.end();) {
+          auto at = connection++;
+          if (at->second.endpoint == arguments[1] && !at->second.client) close_connection(at->first, true);
         }
       }
       if (!down && !shared && endpoint.listener < 0) endpoint.listener = listen_on(endpoint.port());
-      if (plain.size() > 2) endpoint.manner = plain[2];
-      if (endpoint.manner == "deaf") fill_queue(endpoint);
-      else if (endpoint.listener >= 0) listen(endpoint.listener, 64);  // its queue is no longer kept short
-      endpoint.how = words;
-      if (endpoint.entry.is_null() || words.count("state")) {
-        endpoint.entry = {{"uid", plain[1]},
-                          {"endpoint", at(endpoint.port())},
-                          {"az", "h0"},
-                          {"model", text_or(words, "kind", "m0")},
-                          {"pod_group", int(number(words, "for", 1))},
-                          {"state", text_or(words, "state", "Ready")},
-                          {"capacity_hint", 1.0},
-                          {"boot_ms", 0}};
+      if (arguments.size() > 2) endpoint.behavior = arguments[2];
+      if (endpoint.behavior == "deaf") fill_accept_queue(endpoint);
+      else if (endpoint.listener >= 0)
+        listen(endpoint.listener, 64);  // the accept queue is no longer kept short
+      endpoint.options = options;
+      if (endpoint.list_entry.is_null() || options.count("state")) {
+        endpoint.list_entry = {{"uid", arguments[1]},
+                               {"endpoint", address_text(endpoint.port())},
+                               {"az", "h0"},
+                               {"model", text_or(options, "kind", "m0")},
+                               {"pod_group", int(number_or(options, "for", 1))},
+                               {"state", text_or(options, "state", "Ready")},
+                               {"capacity_hint", 1.0},
+                               {"boot_ms", 0}};
         ++revision_;
-        for (auto& [fd, peer] : peers_)
-          if (peer.agent && peer.watching >= 0 && peer.watching < revision_) tell_list(fd);
+        for (auto& [fd, connection] : connections_)
+          if (connection.agent && connection.watched_revision >= 0 && connection.watched_revision < revision_)
+            send_list(fd);
       }
-    } else if (verb == "agent" && plain.at(1) == "moves") {
+    } else if (verb == "agent" && arguments.at(1) == "moves") {
       ::close(agent_);
       agent_ = listen_on(0);
-      if (words.count("keep")) deafen_agent();
-      else hang_up_agent();
-    } else if (verb == "agent" && plain.at(1) == "deafens") {
-      deafen_agent();
-    } else if (verb == "agent" && plain.at(1) == "hangs_up") {
-      hang_up_agent();
-    } else if (verb == "agent" && plain.at(1) == "tells") {
-      spoil_next_ = plain.at(2);
-    } else if (verb == "agent" && plain.at(1) == "goes_on") {
-      tell_rest();
-    } else if (verb == "agent" && plain.at(1) == "forgets") {
-      for (auto& [fd, peer] : peers_) peer.watching = -1;
+      if (options.count("keep")) ignore_agent_connections();
+      else close_agent_connections();
+    } else if (verb == "agent" && arguments.at(1) == "deafens") {
+      ignore_agent_connections();
+    } else if (verb == "agent" && arguments.at(1) == "hangs_up") {
+      close_agent_connections();
+    } else if (verb == "agent" && arguments.at(1) == "tells") {
+      next_list_fault_ = arguments.at(2);
+    } else if (verb == "agent" && arguments.at(1) == "goes_on") {
+      send_withheld();
+    } else if (verb == "agent" && arguments.at(1) == "forgets") {
+      for (auto& [fd, connection] : connections_) connection.watched_revision = -1;
     } else if (verb == "agent") {
-      agent_silent_ = plain.at(1) == "silent", agent_busy_ = plain.at(1) == "busy";
+      agent_silent_ = arguments.at(1) == "silent", agent_busy_ = arguments.at(1) == "busy";
     } else if (verb == "release") {
-      release(plain.at(1), words.count("reset") > 0);
+      release_answers(arguments.at(1), options.count("reset") > 0);
     } else if (verb == "reload") {
-      write_config(words);
-      if (words.count("old")) ::kill(old_, SIGHUP);
-      else end_process(SIGHUP);
+      write_config(options);
+      if (options.count("old")) ::kill(old_pid_, SIGHUP);
+      else signal_process(SIGHUP);
     } else if (verb == "start") {
-      start(words);
+      start(options);
     } else if (verb == "kill" || verb == "term") {
-      end_process(verb == "kill" ? SIGKILL : SIGTERM);
+      signal_process(verb == "kill" ? SIGKILL : SIGTERM);
     } else if (verb == "tear") {
       auto path = folder_ + "/state/held";
       auto size = std::filesystem::file_size(path);
-      auto bytes = std::stoul(plain.at(1));
+      auto bytes = std::stoul(arguments.at(1));
       std::filesystem::resize_file(path, size - bytes);
-      if (words.count("smear"))
+      if (options.count("smear"))
         std::ofstream(path, std::ios::app | std::ios::binary) << std::string(bytes, '#');
     } else if (verb == "age") {
-      age();
+      rewrite_store_as_0_2_0();
     } else if (verb == "wait") {
-      pump(std::stod(plain.at(1)), [] { return false; });
+      run_until(std::stod(arguments.at(1)), [] { return false; });
     } else if (verb == "say") {
-      say(plain.at(1), rest_of(2));
+      send_from(arguments.at(1), rest_of(2));
     } else if (verb == "open") {
-      for (int i = 0; i < int(number(words, "times", 1)); ++i) client(plain.at(1) + std::to_string(i));
+      for (int i = 0; i < int(number_or(options, "times", 1)); ++i)
+        client_socket(arguments.at(1) + std::to_string(i));
     } else if (verb == "replace") {
-      if (old_ > 0) ::kill(old_, SIGKILL), waitpid(old_, nullptr, 0), old_ = -1;
-      replace(words);
+      if (old_pid_ > 0) ::kill(old_pid_, SIGKILL), waitpid(old_pid_, nullptr, 0), old_pid_ = -1;
+      start_replacement(options);
     } else if (verb == "pose") {
-      pose(words);
+      request_unconfirmed_handover(options);
     } else if (verb == "elder") {
-      elder();
+      run_unreadable_predecessor();
     } else if (verb == "stall") {
       int stopped = 0;
       ::kill(pid_, SIGSTOP), waitpid(pid_, &stopped, WUNTRACED);
     } else if (verb == "resume") {
       ::kill(pid_, SIGCONT);
     } else if (verb == "unread") {
-      peers_[client(plain.at(1), small_window)].unread = true;
+      connections_[client_socket(arguments.at(1), small_receive_buffer)].not_reading = true;
     } else if (verb == "old") {
-      bool gone = plain.at(1) == "ends";
-      if (plain.at(1) == "resumes") return void(::kill(old_, SIGCONT));
-      if (!gone) ::kill(old_, SIGKILL);
-      EXPECT_TRUE(pump(number(words, "within", 1000), [&] {
-        return waitpid(old_, &status_, WNOHANG) == old_;
+      bool gone = arguments.at(1) == "ends";
+      if (arguments.at(1) == "resumes") return void(::kill(old_pid_, SIGCONT));
+      if (!gone) ::kill(old_pid_, SIGKILL);
+      EXPECT_TRUE(run_until(number_or(options, "within", 1000), [&] {
+        return waitpid(old_pid_, &status_, WNOHANG) == old_pid_;
       })) << log();
       EXPECT_TRUE(!gone || (WIFEXITED(status_) && WEXITSTATUS(status_) == 0)) << log();
-      old_ = -1;
+      old_pid_ = -1;
     } else if (verb == "dial") {
-      EXPECT_GE(connected(plain.at(1), admin_port_.port()), 0) << "nobody listens at the second address";
+      EXPECT_GE(connect_client(arguments.at(1), admin_port_.port()), 0)
+          << "nothing listens on the second address";
     } else if (verb == "program") {
-      std::vector<const char*> arguments{PROGRAM};
-      for (std::size_t i = 1; i < plain.size(); ++i) arguments.push_back(plain[i].c_str());
-      arguments.push_back(nullptr);
+      std::vector<const char*> program_arguments{PROGRAM};
+      for (std::size_t i = 1; i < arguments.size(); ++i) program_arguments.push_back(arguments[i].c_str());
+      program_arguments.push_back(nullptr);
       auto pid = fork();
       if (pid == 0) {
-        setenv("BALANCER_ADMIN", at(admin_port_.port()).c_str(), 1);
-        execv(PROGRAM, const_cast<char* const*>(arguments.data()));
+        setenv("BALANCER_ADMIN", address_text(admin_port_.port()).c_str(), 1);
+        execv(PROGRAM, const_cast<char* const*>(program_arguments.data()));
         _exit(127);
       }
       int status = 0;
-      EXPECT_TRUE(pump(4000, [&] { return waitpid(pid, &status, WNOHANG) == pid; }));
-      EXPECT_EQ(WEXITSTATUS(status), int(number(words, "code", 0)));
+      EXPECT_TRUE(run_until(4000, [&] { return waitpid(pid, &status, WNOHANG) == pid; }));
+      EXPECT_EQ(WEXITSTATUS(status), int(number_or(options, "code", 0)));
     } else if (verb == "ping") {
-      auto count = static_cast<std::size_t>(number(words, "times", 1));
-      auto one = command({"PING"});
+      auto count = static_cast<std::size_t>(number_or(options, "times", 1));
+      auto one = resp_command({"PING"});
       std::string all;
       for (std::size_t i = 0; i < count; ++i) all += one;
-      say(plain.at(1), all);
+      send_from(arguments.at(1), all);
     } else if (verb == "half") {
-      shutdown(client(plain.at(1)), SHUT_WR);
+      shutdown(client_socket(arguments.at(1)), SHUT_WR);
     } else if (verb == "hand") {
       auto document = [&](const std::string& id) {
-        auto list = "c=" + text_or(words, "type", "plain") + ",d=" + text_or(words, "left", "20000") +
-                    ",dest=" + text_or(words, "for", "1");
+        auto list = "c=" + text_or(options, "type", "plain") + ",d=" + text_or(options, "left", "20000") +
+                    ",dest=" + text_or(options, "for", "1");
         for (const char* name : {"k", "t"})
-          if (words.count(name)) list += std::string(",") + name + "=" + words.at(name);
-        auto body = text_or(words, "body", "hello") +
-                    std::string(static_cast<std::size_t>(number(words, "fill", 0)), 'x');
-        return command({"ENQUEUE", text_or(words, "key", "0000000000000000"), id, list, body});
+          if (options.count(name)) list += std::string(",") + name + "=" + options.at(name);
+        auto body = text_or(options, "body", "hello") +
+                    std::string(static_cast<std::size_t>(number_or(options, "fill", 0)), 'x');
+        return resp_command({"ENQUEUE", text_or(options, "key", "0000000000000000"), id, list, body});
       };
-      for (int i = 0; i < int(number(words, "clients", 0)); ++i)
-        say(plain.at(1) + std::to_string(i), document(plain.at(1) + std::to_string(i)));
-      if (words.count("clients")) return;
-      if (words.count("first") || words.count("last")) {
-        auto whole = document(plain.at(2)), part = whole.substr(0, whole.size() / 2);
-        auto said = words.count("first") ? part : whole.substr(part.size());
-        if (words.count("then")) {
-          auto next = document(words.at("then"));
+      for (int i = 0; i < int(number_or(options, "clients", 0)); ++i)
+        send_from(arguments.at(1) + std::to_string(i), document(arguments.at(1) + std::to_string(i)));
+      if (options.count("clients")) return;
+      if (options.count("first") || options.count("last")) {
+        auto whole = document(arguments.at(2)), part = whole.substr(0, whole.size() / 2);
+        auto said = options.count("first") ? part : whole.substr(part.size());
+        if (options.count("then")) {
+          auto next = document(options.at("then"));
           said += next.substr(0, next.size() / 2);
         }
-        return say(plain.at(1), said);
+        return send_from(arguments.at(1), said);
       }
-      auto count = int(number(words, "times", 1));
+      auto count = int(number_or(options, "times", 1));
       std::string out;
       for (int i = 0; i < count; ++i)
-        out += document(count > 1 ? plain.at(2) + std::to_string(i) : plain.at(2));
-      say(plain.at(1), out);
+        out += document(count > 1 ? arguments.at(2) + std::to_string(i) : arguments.at(2));
+      send_from(arguments.at(1), out);
     } else if (verb == "hear") {
-      auto wanted = rest_of(2);
-      int fd = client(plain.at(1));
-      constexpr int large_window = 1 << 20;
-      if (std::exchange(peers_[fd].unread, false))
-        setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &large_window, sizeof large_window);
-      if (wanted == "BUSY") {
-        auto& in = peers_[fd].in;
-        EXPECT_TRUE(pump(1500, [&] { return in.find('\n') != std::string::npos; }));
-        EXPECT_TRUE(in.rfind("-BUSY ", 0) == 0 && std::atoi(in.c_str() + 6) > 0) << "heard instead: " << in;
+      auto expected = rest_of(2);
+      int fd = client_socket(arguments.at(1));
+      constexpr int large_receive_buffer = 1 << 20;
+      if (std::exchange(connections_[fd].not_reading, false))
+        setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &large_receive_buffer, sizeof large_receive_buffer);
+      if (expected == "BUSY") {
+        auto& in = connections_[fd].input;
+        EXPECT_TRUE(run_until(1500, [&] { return in.find('\n') != std::string::npos; }));
+        EXPECT_TRUE(in.rfind("-BUSY ", 0) == 0 && std::atoi(in.c_str() + 6) > 0)
+            << "received instead: " << in;
         in.erase(0, in.find('\n') + 1);
         return;
       }
-      bool heard = pump(
-          1500, [&] { return wanted == "END" ? peers_[fd].ended : peers_[fd].in.rfind(wanted, 0) == 0; });
-      EXPECT_TRUE(heard) << "heard instead: " << peers_[fd].in << "; log: " << log();
-      if (heard && wanted != "END") peers_[fd].in.erase(0, wanted.size());
+      bool received = run_until(1500, [&] {
+        return expected == "END" ? connections_[fd].ended : connections_[fd].input.rfind(expected, 0) == 0;
+      });
+      EXPECT_TRUE(received) << "received instead: " << connections_[fd].input << "; log: " << log();
+      if (received && expected != "END") connections_[fd].input.erase(0, expected.size());
     } else if (verb == "expect") {
-      expect(plain, words);
+      expect(arguments, options);
     } else {
-      FAIL() << "unknown line";
+      FAIL() << "unknown directive";
     }
   }
 
-  void expect(const std::vector<std::string>& plain, const Words& words) {
-    const auto& what = plain.at(1);
-    double within = number(words, "within", 1500);
-    auto least = static_cast<std::size_t>(number(words, "least", words.count("most") ? 0 : 1));
-    auto most = static_cast<std::size_t>(number(words, "most", 1e9));
+  void expect(const std::vector<std::string>& arguments, const Options& options) {
+    const auto& what = arguments.at(1);
+    double within = number_or(options, "within", 1500);
+    auto least = static_cast<std::size_t>(number_or(options, "least", options.count("most") ? 0 : 1));
+    auto most = static_cast<std::size_t>(number_or(options, "most", 1e9));
     std::function<std::size_t()> count;
     if (what == "calls")
       count = [&] {
         std::size_t found = 0;
         for (const auto& call : calls_) {
-          if (words.count("before") && call[0] == words.at("before")) break;
-          found += (plain.size() < 3 || call[0] == plain[2]) &&
-                   (!words.count("heard") || contains(call[3], " " + words.at("heard") + " ")) &&
-                   (!words.count("at") || call[1] == words.at("at")) &&
-                   (!words.count("says") || call[2].find(unescaped(words.at("says"))) != std::string::npos);
+          if (options.count("before") && call[0] == options.at("before")) break;
+          found +=
+              (arguments.size() < 3 || call[0] == arguments[2]) &&
+              (!options.count("heard") || contains(call[3], " " + options.at("heard") + " ")) &&
+              (!options.count("at") || call[1] == options.at("at")) &&
+              (!options.count("says") || call[2].find(unescaped(options.at("says"))) != std::string::npos);
         }
         return found;
       };
@@ -828,51 +858,54 @@
         std::filesystem::directory_iterator open("/proc/" + std::to_string(pid_) + "/fd"), end;
         return static_cast<std::size_t>(std::distance(open, end));
       };
-    else if (what == "asked") count = [&] { return plain.size() > 2 ? asked_whole_ : asked_; };
-    else if (what == "told") count = [&] { return std::size_t(asked_after_ >= revision_); };
-    else if (what == "spoilt") count = [&] { return spoilt_; };
+    else if (what == "asked")
+      count = [&] { return arguments.size() > 2 ? full_list_requests_ : list_requests_; };
+    else if (what == "told") count = [&] { return std::size_t(requested_after_ >= revision_); };
+    else if (what == "spoilt") count = [&] { return faulty_lists_sent_; };
     else if (what == "batches") count = [&] { return batches_; };
-    else if (what == "connections") count = [&] { return connections_[plain.at(2)]; };
-    else if (what == "closed") count = [&] { return closed_by_relay_[plain.at(2)]; };
+    else if (what == "connections") count = [&] { return accepted_counts_[arguments.at(2)]; };
+    else if (what == "closed") count = [&] { return closed_by_relay_[arguments.at(2)]; };
     else if (what == "notices")
       count = [&] {
         std::size_t found = 0;
-        for (const auto& [id, told] : notices_)
-          for (const auto& one : told)
-            found += (plain.size() < 3 || id == plain[2]) &&
-                     (!words.count("status") || one.at("status") == words.at("status"));
+        for (const auto& [id, reports] : reports_)
+          for (const auto& one : reports)
+            found += (arguments.size() < 3 || id == arguments[2]) &&
+                     (!options.count("status") || one.at("status") == options.at("status"));
         return found;
       };
-    else if (what == "heard") count = [&] { return peers_[client(plain.at(2))].in.size(); };
+    else if (what == "heard")
+      count = [&] { return connections_[client_socket(arguments.at(2))].input.size(); };
     else if (what == "reset")
       count = [&] {
-        pollfd one{client(plain.at(2)), 0, 0};
+        pollfd one{client_socket(arguments.at(2)), 0, 0};
         return std::size_t(poll(&one, 1, 0) > 0 && (one.revents & POLLERR) != 0);
       };
     else if (what == "refused") count = [&] { return std::size_t(refuses_connections()); };
     else if (what == "halted") count = [&] { return halts_ += has_halted(); };
     else if (what == "log")
-      count = [&] { return std::size_t(log().find(unescaped(words.at("says"))) != std::string::npos); };
+      count = [&] { return std::size_t(log().find(unescaped(options.at("says"))) != std::string::npos); };
     else if (what == "exit") {
-      EXPECT_TRUE(pump(within, [&] { return has_ended(); })) << log();
-      EXPECT_TRUE(WIFEXITED(status_) && WEXITSTATUS(status_) == int(number(words, "code", 0)))
+      EXPECT_TRUE(run_until(within, [&] { return has_exited(); })) << log();
+      EXPECT_TRUE(WIFEXITED(status_) && WEXITSTATUS(status_) == int(number_or(options, "code", 0)))
           << "status " << status_ << ": " << log();
       return;
     } else if (what == "running") {
-      EXPECT_FALSE(has_ended()) << log();
+      EXPECT_FALSE(has_exited()) << log();
       return;
     } else if (what == "disk") {
       std::size_t bytes = 0;
       for (const auto& entry : std::filesystem::directory_iterator(folder_ + "/state"))
         if (entry.is_regular_file()) bytes += (std::filesystem::file_size(entry.path()) + 511) / 512 * 512;
-      EXPECT_LE(double(bytes), number(words, "most", 0));
+      EXPECT_LE(double(bytes), number_or(options, "most", 0));
       return;
     } else {
       FAIL() << "unknown expectation";
     }
-    // What must not come is given the whole time to come; what must come, ends the wait.
-    if (words.count("most")) pump(words.count("within") ? within : 0, [&] { return count() > most; });
-    else pump(within, [&] { return count() >= least; });
+    // A maximum is checked over the whole time; a minimum ends the wait once it is reached.
+    if (options.count("most"))
+      run_until(options.count("within") ? within : 0, [&] { return count() > most; });
+    else run_until(within, [&] { return count() >= least; });
     EXPECT_GE(count(), least) << log();
     EXPECT_LE(count(), most) << log();
   }
@@ -880,31 +913,31 @@
   std::string folder_;
   int agent_ = -1, status_ = 0;
   ReservedPort relay_port_, admin_port_;
-  pid_t pid_ = -1, old_ = -1;
-  int passed_ = -1, healths_ = 0;
-  std::size_t halts_ = 0;  // of the present process
-  std::vector<int> posing_;
+  pid_t pid_ = -1, old_pid_ = -1;
+  int passed_socket_ = -1, health_checks_ = 0;
+  std::size_t halts_ = 0;  // of the current process
+  std::vector<int> unconfirmed_descriptors_;
   Json settings_;
   std::int64_t revision_ = 1;
-  Json known_;  // the list, as written into the last configuration
+  Json known_list_;  // the list as written into the last configuration
   bool agent_silent_ = false, agent_busy_ = false;
-  std::string spoil_next_;                // how the next list is spoilt
-  std::map<int, std::string> held_back_;  // the rest of an answer, by connection
-  std::int64_t asked_after_ = -1;         // the version that the relay last said it has
-  std::size_t spoilt_ = 0;
-  StandIn* beside_ = nullptr;
-  std::unique_ptr<StandIn> also_;
-  std::size_t asked_ = 0, asked_whole_ = 0;
+  std::string next_list_fault_;          // fault of the next list, empty: none
+  std::map<int, std::string> withheld_;  // the rest of a response, by connection
+  std::int64_t requested_after_ = -1;    // the version after which the relay last requested updates
+  std::size_t faulty_lists_sent_ = 0;
+  StandIn* other_ = nullptr;
+  std::unique_ptr<StandIn> second_;
+  std::size_t list_requests_ = 0, full_list_requests_ = 0;
   std::size_t batches_ = 0;
   std::map<std::string, Endpoint> endpoints_;
-  std::map<int, Peer> peers_;
+  std::map<int, Connection> connections_;
   std::map<std::string, int> clients_;
-  std::multimap<double, Later> later_;
+  std::multimap<double, ScheduledWrite> scheduled_writes_;
   std::vector<HeldAnswer> held_answers_;
-  std::map<std::string, std::size_t> closed_by_relay_;  // connections of endpoints
-  std::vector<std::vector<std::string>> calls_;         // id, endpoint, the whole text, who had heard
-  std::map<std::string, std::size_t> connections_;
-  std::map<std::string, std::vector<Json>> notices_;
+  std::map<std::string, std::size_t> closed_by_relay_;  // connections, by endpoint
+  std::vector<std::vector<std::string>> calls_;  // id, endpoint, the whole request, clients_with_answers()
+  std::map<std::string, std::size_t> accepted_counts_;  // by endpoint
+  std::map<std::string, std::vector<Json>> reports_;
 };
 
 }  // namespace rockcrank
