--- a/tests/scenario_test.cpp
+++ b/tests/scenario_test.cpp
@@ -56,7 +56,7 @@
           {number_or(options, "apart", 0) > 0, int(number_or(options, "bundle", 1))});
     else if (verb == "expect") expect(arguments, options, text);
     else if (verb[0] == '@') run_event(std::stod(verb.substr(1)), arguments, options);
-    else FAIL() << "unknown line: " << text;
+    else FAIL() << "unknown directive: " << text;
   }
 
  private:
@@ -215,13 +215,13 @@
     if (!in_turn_) return;
     in_turn_ = false;
     auto started = std::clock();
-    auto done = decision_->decide();
+    auto decided = decision_->decide();
     if (reports_changes_) record_statuses(decision_->route_statuses(false));
     cpu_ms_ += 1e3 * double(std::clock() - started) / CLOCKS_PER_SEC, ++turns_;
-    for (const auto& text : done.log) log_lines_.push_back(text);
-    for (const auto& r : done.rejected) final_answer(r.doc, true);
-    for (DocId d : done.abandoned) final_answer(d, false);
-    for (const auto& c : done.canceled)
+    for (const auto& text : decided.log) log_lines_.push_back(text);
+    for (const auto& r : decided.rejected) record_final_answer(r.doc, true);
+    for (DocId d : decided.abandoned) record_final_answer(d, false);
+    for (const auto& c : decided.canceled)
       for (auto at = pending_.begin(); at != pending_.end(); ++at)
         if (at->second.doc == c.doc && at->second.transmission == c.transmission) {
           Outcome o = at->second;
@@ -230,19 +230,20 @@
           pending_.emplace(now_ + settings_.tick, o);
           break;
         }
-    for (auto [e, idle_least] : done.closed_connections)
+    for (auto [e, idle_least] : decided.closed_connections)
       if (idle_least == 0) last_used_.erase(e), event_times_["closed"][DocId(std::uint64_t(e))] = now_;
       else event_times_["thinned"][DocId(std::uint64_t(e))] = now_;
-    for (EndpointId e : done.forgotten_endpoints) event_times_["forgotten"][DocId(std::uint64_t(e))] = now_;
-    if (done.long_poll_wait > 0) event_times_["follows"][DocId(event_times_["follows"].size())] = now_;
+    for (EndpointId e : decided.forgotten_endpoints)
+      event_times_["forgotten"][DocId(std::uint64_t(e))] = now_;
+    if (decided.long_poll_wait > 0) event_times_["follows"][DocId(event_times_["follows"].size())] = now_;
     broken_this_turn_.clear();
-    for (const auto& t : done.transmissions)
+    for (const auto& t : decided.transmissions)
       if (int nth = int(behaviors_[t.endpoint].nth); nth > 0 && ++doc_counts_[t.endpoint] % nth == 0)
         broken_this_turn_.insert(t.endpoint);
-    for (const auto& t : done.transmissions) send(t);
-    next_wakeup_ = done.wake_in < 0
+    for (const auto& t : decided.transmissions) transmit(t);
+    next_wakeup_ = decided.wake_in < 0
                        ? 1e18
-                       : now_ + std::ceil(std::max(done.wake_in, 1.0) / settings_.tick) * settings_.tick;
+                       : now_ + std::ceil(std::max(decided.wake_in, 1.0) / settings_.tick) * settings_.tick;
   }
 
   // Formats the statuses as lines that "expect knows" searches.
@@ -258,7 +259,7 @@
     }
   }
 
-  void final_answer(DocId id, bool rejected) {
+  void record_final_answer(DocId id, bool rejected) {
     DocState& state = doc_states_.at(id);
     EXPECT_FALSE(state.ended) << "a second final answer for " << std::uint64_t(id);
     EXPECT_LE(now_, state.expiry) << "a final answer after the expiry of " << std::uint64_t(id);
@@ -270,7 +271,7 @@
     event_times_[rejected ? "rejected" : "abandoned"][id] = now_;
   }
 
-  void send(const Transmit& t) {
+  void transmit(const Transmit& t) {
     DocState& state = doc_states_.at(t.doc);
     auto& type = settings_.doc_types.at(std::size_t(state.doc.type));
     EXPECT_FALSE(state.ended) << "sent after its final answer";
@@ -305,15 +306,15 @@
     if (behavior.idle > 0 && last_used_.count(t.endpoint) && now_ > last_used_[t.endpoint] + behavior.idle)
       behavior.answer = "broken", behavior.after = 10;
     if (broken_this_turn_.count(t.endpoint)) behavior.answer = "broken";
-    auto to_endpoint = [&](const auto& out) { return out.second.endpoint == t.endpoint; };
+    auto to_endpoint = [&](const auto& pending) { return pending.second.endpoint == t.endpoint; };
     if (double(std::count_if(pending_.begin(), pending_.end(), to_endpoint)) >= behavior.queue)
       behavior.answer = "refused", behavior.after = 10;
     last_used_[t.endpoint] = now_;
-    bool late = behavior.answer == "silent" || (t.timeout > 0 && behavior.after >= t.timeout);
+    bool times_out = behavior.answer == "silent" || (t.timeout > 0 && behavior.after >= t.timeout);
     Outcome o;
     o.doc = t.doc, o.transmission = state.transmissions++, o.endpoint = t.endpoint;
-    o.result = late ? TransmissionResult::timed_out : results_by_name.at(behavior.answer);
-    o.duration = late ? (t.timeout > 0 ? t.timeout : state.expiry - now_) : behavior.after;
+    o.result = times_out ? TransmissionResult::timed_out : results_by_name.at(behavior.answer);
+    o.duration = times_out ? (t.timeout > 0 ? t.timeout : state.expiry - now_) : behavior.after;
     if (o.result == TransmissionResult::refused) o.retry_after = behavior.wait;
     if (behavior.answer == "turned_away") o.connection_idle_time = 0, o.connection_closed = true;
     if (behavior.limit >= 0) o.hints = {true, behavior.share, behavior.limit};
--- a/tests/stand_in.h
+++ b/tests/stand_in.h
@@ -69,6 +69,7 @@
   return out;
 }
 
+// The fake environment of one relay and its process: runs the lines of a socket scenario one after another.
 class StandIn {
  public:
   using Json = nlohmann::json;
@@ -127,8 +128,8 @@
  private:
   struct Endpoint {
     int listener = -1;
-    std::shared_ptr<ReservedPort> address;  // the same for all stand-ins that share the endpoint
-    int port() const { return address->port(); }
+    std::shared_ptr<ReservedPort> reserved_port;  // the same for all stand-ins that share the endpoint
+    int port() const { return reserved_port->port(); }
     std::string behavior = "200";
     Options options;
     Json list_entry;
@@ -180,11 +181,11 @@
   static std::string address_text(int port) { return "127.0.0.1:" + std::to_string(port); }
 
   // Processes events until the condition holds or the time is over. Returns whether the condition held.
-  bool run_until(double within, const std::function<bool()>& until) {
-    double end = now() + within;
+  bool run_until(double timeout_ms, const std::function<bool()>& condition) {
+    double deadline = now() + timeout_ms;
     while (true) {
-      if (until()) return true;
-      if (now() >= end) return false;
+      if (condition()) return true;
+      if (now() >= deadline) return false;
       poll_once();
       if (other_) other_->poll_once();
     }
@@ -512,21 +513,21 @@
   }
   // Runs a previous process that hands over an unreadable decision state: it owns the store's file and keeps
   // running.
-  void run_unreadable_predecessor() {
+  void run_previous_with_unreadable_state() {
     pid_ = fork();
     if (pid_ != 0) return;
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     Store store(folder_ + "/state", 1000000);
-    auto passed = store.handover_state();
+    auto store_state = store.handover_state();
     EventLoop loop;
     HandoverServer server(loop, folder_ + "/state");
     server.make_payload = [&](const std::string&) {
       HandoverPayload payload;
-      payload.descriptors = {passed.descriptor};
-      Json all{{"form", 1}, {"version", 1}, {"decision", "no state"}};
-      all["store"] = {passed.path,       passed.snapshot,      0, passed.last_doc_number,
-                      passed.file_bytes, passed.rewrite_needed};
-      Json::to_cbor(all, payload.state);
+      payload.descriptors = {store_state.descriptor};
+      Json state{{"form", 1}, {"version", 1}, {"decision", "no state"}};
+      state["store"] = {store_state.path,       store_state.snapshot,      0, store_state.last_doc_number,
+                        store_state.file_bytes, store_state.rewrite_needed};
+      Json::to_cbor(state, payload.state);
       return payload;
     };
     loop.run();
@@ -542,20 +543,20 @@
     auto numbering = options.count("numbering")
                          ? options.at("numbering")
                          : std::to_string(fnv1a_hash(Json{settings_["skus"], settings_["zones"]}.dump()));
-    auto got = handover_client.request(numbering);
-    EXPECT_EQ(got.has_value(), !options.count("numbering"));
+    auto payload = handover_client.request(numbering);
+    EXPECT_EQ(payload.has_value(), !options.count("numbering"));
     if (options.count("silent")) run_until(1000, [] { return false; });
-    if (got) unconfirmed_descriptors_ = got->descriptors;
+    if (payload) unconfirmed_descriptors_ = payload->descriptors;
     if (options.count("kills")) ::kill(pid_, SIGKILL), waitpid(std::exchange(pid_, -1), &status_, 0);
     if (!options.count("keep")) request_unconfirmed_handover({{"gone", "1"}});
   }
   void start(const Options& options) {
     auto state = folder_ + "/state", path = write_config(options);
     std::filesystem::create_directories(state);
-    auto files = static_cast<rlim_t>(number_or(options, "files", 0));
-    auto largest = static_cast<rlim_t>(number_or(options, "file_bytes", 0));
-    bool passed = options.count("passed") > 0;
-    if (passed && passed_socket_ < 0) passed_socket_ = listen_on(relay_port_.port());
+    auto max_files = static_cast<rlim_t>(number_or(options, "files", 0));
+    auto max_file_bytes = static_cast<rlim_t>(number_or(options, "file_bytes", 0));
+    bool inherits_socket = options.count("passed") > 0;
+    if (inherits_socket && passed_socket_ < 0) passed_socket_ = listen_on(relay_port_.port());
     signal_process(SIGKILL);
     halts_ = 0;
     pid_ = fork();
@@ -565,12 +566,13 @@
       int log =
           open((folder_ + "/log").c_str(), O_WRONLY | O_CREAT | (old_pid_ > 0 ? O_APPEND : O_TRUNC), 0600);
       dup2(log, 1), dup2(log, 2);
-      if (passed) dup2(passed_socket_, 3), setenv("BALANCER_PASSED_SOCKET", "3", 1);
+      if (inherits_socket) dup2(passed_socket_, 3), setenv("BALANCER_PASSED_SOCKET", "3", 1);
       set_fault_environment(options);
-      close_range(passed ? 4 : 3, ~0u, 0);  // descriptors inherited by the test runner would be counted
-      rlimit limit{files, files}, size{largest, largest};
-      if (files > 0) setrlimit(RLIMIT_NOFILE, &limit);
-      if (largest > 0) setrlimit(RLIMIT_FSIZE, &size);
+      // Closes what the test runner itself inherited: scenarios count the relay's descriptors.
+      close_range(inherits_socket ? 4 : 3, ~0u, 0);
+      rlimit files_limit{max_files, max_files}, file_size_limit{max_file_bytes, max_file_bytes};
+      if (max_files > 0) setrlimit(RLIMIT_NOFILE, &files_limit);
+      if (max_file_bytes > 0) setrlimit(RLIMIT_FSIZE, &file_size_limit);
       execl(PROGRAM, PROGRAM, options.count("run") ? options.at("run").c_str() : "serve", nullptr);
       _exit(127);
     }
@@ -658,10 +660,10 @@
     } else if (verb == "endpoint") {
       Endpoint& endpoint = endpoints_[arguments.at(1)];
       bool shared = options.count("shared") > 0;  // the other stand-in listens there
-      if (shared) endpoint.address = other_->endpoints_.at(arguments[1]).address;
+      if (shared) endpoint.reserved_port = other_->endpoints_.at(arguments[1]).reserved_port;
       bool down = arguments.size() > 2 && arguments[2] == "down";
-      if (!endpoint.address) {
-        endpoint.address = std::make_shared<ReservedPort>();
+      if (!endpoint.reserved_port) {
+        endpoint.reserved_port = std::make_shared<ReservedPort>();
         endpoint.listener = listen_on(endpoint.port());
       }
       if (down && endpoint.listener >= 0) {
@@ -740,7 +742,7 @@
     } else if (verb == "pose") {
       request_unconfirmed_handover(options);
     } else if (verb == "elder") {
-      run_unreadable_predecessor();
+      run_previous_with_unreadable_state();
     } else if (verb == "stall") {
       int stopped = 0;
       ::kill(pid_, SIGSTOP), waitpid(pid_, &stopped, WUNTRACED);
