--- a/src/trial/cold_returns.cpp
+++ b/src/trial/cold_returns.cpp
@@ -83,12 +83,12 @@
     Millis mean_gap = 1000 / (documents_per_second * destinations);
     for (Millis at = 0; at < end() - 2000; at += between(0.2, 1.8) * mean_gap) {
       std::string id = "d" + std::to_string(++number), name = names_[relay(random_)];
-      Options words{{"type", types[below(4)]},
-                    {"for", std::to_string(1 + below(destinations))},
-                    {"left", std::to_string(9000 + below(6000))},
-                    {"c", "c" + std::to_string(below(2))}};
+      Options options{{"type", types[below(4)]},
+                      {"for", std::to_string(1 + below(destinations))},
+                      {"left", std::to_string(9000 + below(6000))},
+                      {"c", "c" + std::to_string(below(2))}};
       schedule_action(at, [=](Harness& harness) {
-        if (harness.is_running(name) && !harness.is_suspended(name)) harness.submit(name, id, words);
+        if (harness.is_running(name) && !harness.is_suspended(name)) harness.submit(name, id, options);
       });
     }
   }
--- a/src/trial/harness.cpp
+++ b/src/trial/harness.cpp
@@ -28,13 +28,13 @@
 constexpr Millis longest_poll = 10;
 constexpr Millis start_timeout = 8000;  // allows for other tests running at the same time
 
-std::string option(const Options& words, const std::string& name, const std::string& fallback) {
-  auto found = words.find(name);
-  return found == words.end() ? fallback : found->second;
+std::string option(const Options& options, const std::string& name, const std::string& fallback) {
+  auto found = options.find(name);
+  return found == options.end() ? fallback : found->second;
 }
-double number(const Options& words, const std::string& name, double fallback) {
-  auto found = words.find(name);
-  return found == words.end() ? fallback : std::stod(found->second);
+double number(const Options& options, const std::string& name, double fallback) {
+  auto found = options.find(name);
+  return found == options.end() ? fallback : std::stod(found->second);
 }
 
 // Returns a field of a document's body, which begins "key=K v=N ".
@@ -52,10 +52,10 @@
   return head.substr(from, head.find('\r', from) - from);
 }
 
-std::string command(const std::vector<std::string>& words) {
+std::string command(const std::vector<std::string>& arguments) {
   std::ostringstream out;
-  out << '*' << words.size() << "\r\n";
-  for (const auto& one : words) out << '$' << one.size() << "\r\n" << one << "\r\n";
+  out << '*' << arguments.size() << "\r\n";
+  for (const auto& one : arguments) out << '$' << one.size() << "\r\n" << one << "\r\n";
   return out.str();
 }
 
@@ -247,7 +247,7 @@
   _exit(127);
 }
 
-void Harness::start_without_waiting(const std::string& relay_name, const Options& words) {
+void Harness::start_without_waiting(const std::string& relay_name, const Options& options) {
   Relay& relay = relays_.at(relay_name);
   if (relay.pid > 0) return;
   write_files(relay);
@@ -259,7 +259,7 @@
   relay.suspended = relay.asked_to_stop = false;
   record("start", {{"r", relay_name}, {"life", std::to_string(relay.life)}});
   relay.pid =
-      spawn(folder(relay_name), variables, static_cast<std::uint64_t>(number(words, "file_bytes", 0)));
+      spawn(folder(relay_name), variables, static_cast<std::uint64_t>(number(options, "file_bytes", 0)));
   for (auto& [name, endpoint] : endpoints_)
     record("told", {{"r", relay_name}, {"e", name}, {"state", endpoint.state}});
 }
@@ -279,8 +279,8 @@
   return *heard == "+PONG\r\n";
 }
 
-bool Harness::start(const std::string& relay_name, const Options& words) {
-  start_without_waiting(relay_name, words);
+bool Harness::start(const std::string& relay_name, const Options& options) {
+  start_without_waiting(relay_name, options);
   auto end = now() + start_timeout;
   while (now() < end && is_running(relay_name)) {
     if (answers_ping(relay_name)) return record("up", {{"r", relay_name}}), true;
@@ -759,14 +759,16 @@
   }
 }
 
-void Harness::submit(const std::string& relay_name, const std::string& id, const Options& words) {
-  auto name = option(words, "c", "c");
-  auto type = option(words, "type", "plain"), key = option(words, "key", "0"), v = option(words, "v", "0");
-  auto left = option(words, "left", "8000"), dest = option(words, "for", "1");
-  auto idempotency_key = option(words, "mark", type == "numbered" ? "m-" + id : "");
-  auto body = words.count("empty") ? std::string()
-                                   : "key=" + key + " v=" + v + " " +
-                                         std::string(static_cast<std::size_t>(number(words, "fill", 0)), 'x');
+void Harness::submit(const std::string& relay_name, const std::string& id, const Options& options) {
+  auto name = option(options, "c", "c");
+  auto type = option(options, "type", "plain"), key = option(options, "key", "0"),
+       v = option(options, "v", "0");
+  auto left = option(options, "left", "8000"), dest = option(options, "for", "1");
+  auto idempotency_key = option(options, "mark", type == "numbered" ? "m-" + id : "");
+  auto body = options.count("empty")
+                  ? std::string()
+                  : "key=" + key + " v=" + v + " " +
+                        std::string(static_cast<std::size_t>(number(options, "fill", 0)), 'x');
   auto order_key = std::string(key.size() < 16 ? 16 - key.size() : 0, '0') + key;
   auto list =
       "c=" + type + ",d=" + left + ",dest=" + dest + (idempotency_key.empty() ? "" : ",k=" + idempotency_key);
@@ -794,16 +796,16 @@
                   {"left", left},
                   {"mark", idempotency_key},
                   {"c", name},
-                  {"empty", words.count("empty") ? "1" : "0"}});
+                  {"empty", options.count("empty") ? "1" : "0"}});
   event_loop_.send(*sock, command({"ENQUEUE", order_key, id, list, body}));
 }
 
-void Harness::schedule_load(const std::string& relay_name, const std::string& id, const Options& words,
+void Harness::schedule_load(const std::string& relay_name, const std::string& id, const Options& options,
                             int times, Millis every) {
   for (int i = 0; i < times; ++i)
     event_loop_.schedule(now() + i * every, [=, this] {
       if (is_running(relay_name) && !is_suspended(relay_name))
-        submit(relay_name, id + std::to_string(i), words);
+        submit(relay_name, id + std::to_string(i), options);
     });
 }
 
--- a/src/trial/harness.h
+++ b/src/trial/harness.h
@@ -57,10 +57,10 @@
   void set_listed_state(const std::string& name, const std::string& state);
   bool has_endpoint(const std::string& name) const { return endpoints_.count(name) > 0; }
 
-  // Starts a relay and waits until it answers. Returns false if it does not. words: file_bytes= and others of
-  // the scene.
-  bool start(const std::string& relay_name, const Options& words);
-  void start_without_waiting(const std::string& relay_name, const Options& words);
+  // Starts a relay and waits until it answers. Returns false if it does not. options: file_bytes= and others
+  // of the scene.
+  bool start(const std::string& relay_name, const Options& options);
+  void start_without_waiting(const std::string& relay_name, const Options& options);
   bool answers_ping(const std::string& relay_name);  // sends a PING on a connection of its own
   void kill(const std::string& relay_name);
   void suspend(const std::string& relay_name);
@@ -91,9 +91,9 @@
   // opened to each other one.
   bool all_linked_since(Millis from) const;
 
-  void submit(const std::string& relay_name, const std::string& id, const Options& words);
+  void submit(const std::string& relay_name, const std::string& id, const Options& options);
   // Submits `times` documents, one every `every` ms, in the background.
-  void schedule_load(const std::string& relay_name, const std::string& id, const Options& words, int times,
+  void schedule_load(const std::string& relay_name, const std::string& id, const Options& options, int times,
                      Millis every);
   void set_offline(const std::string& relay_name, const std::string& endpoint, bool offline);
 
--- a/src/trial/random_trial.cpp
+++ b/src/trial/random_trial.cpp
@@ -51,24 +51,24 @@
     for (Millis at = 0; at < length_; at += between(0.5, 1.5) * mean_document_gap) {
       auto id = "d" + std::to_string(++number);
       auto relay = any_relay();
-      Options words{{"type", types[below(5)]},
-                    {"for", std::to_string(1 + below(destinations))},
-                    {"left", std::to_string(3000 + below(4000))},
-                    {"c", "c" + std::to_string(below(3))}};
-      if (words["type"] == "ordered") words["key"] = "a" + std::to_string(below(4)), words["c"] = "c0";
+      Options options{{"type", types[below(5)]},
+                      {"for", std::to_string(1 + below(destinations))},
+                      {"left", std::to_string(3000 + below(4000))},
+                      {"c", "c" + std::to_string(below(3))}};
+      if (options["type"] == "ordered") options["key"] = "a" + std::to_string(below(4)), options["c"] = "c0";
       if (streams && below(3) == 0) {
         // Each key has one writer, so that its versions are accepted in the order of submission.
         auto key = "b" + std::to_string(below(8));
-        words = {{"type", "status"},
-                 {"for", below(2) ? "21" : "2"},
-                 {"left", "15000"},
-                 {"key", key},
-                 {"c", "s" + key}};
-        words["v"] = std::to_string(++versions[key]);
+        options = {{"type", "status"},
+                   {"for", below(2) ? "21" : "2"},
+                   {"left", "15000"},
+                   {"key", key},
+                   {"c", "s" + key}};
+        options["v"] = std::to_string(++versions[key]);
         relay = names_[std::hash<std::string>{}(key) % names_.size()];
       }
       schedule_action(at, [=](Harness& harness) {
-        if (harness.is_running(relay) && !harness.is_suspended(relay)) harness.submit(relay, id, words);
+        if (harness.is_running(relay) && !harness.is_suspended(relay)) harness.submit(relay, id, options);
       });
     }
   }
