--- a/src/model/run.cpp
+++ b/src/model/run.cpp
@@ -44,7 +44,7 @@
   return std::min(members, most);
 }
 
-RunResult run_seed(const Part& part, std::uint64_t seed, const RunOptions& options, bool text,
+RunResult run_seed(const Part& part, std::uint64_t seed, const RunOptions& options, bool record_trace,
                    const std::vector<Fault>* faults) {
   RandomSource random(hash_values(seed, 0x5a));
   auto config = part.draw_config(random, options.relays);
@@ -52,7 +52,7 @@
   result.seed = seed, result.part = part.name, result.members = config.members;
   result.faults = faults ? *faults : draw_faults(config, part.fault_profile, seed);
   auto workload = part.make_workload(options);
-  World world(config, seed, result.faults, *workload, text);
+  World world(config, seed, result.faults, *workload, record_trace);
   try {
     world.run();
   } catch (const InvariantViolation& broken) {
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -179,7 +179,7 @@
   void deliver_unblocked();
   void deliver(int from, int to, std::shared_ptr<Input> input, bool resent = false);
   void send(int from, int to, Payload&& payload);
-  void dial(int a, int b);
+  void dial(int from, int to);
   void schedule_dial(int from, int to);
   void finish_handshake(int from, int to, std::uint64_t generation);
   void break_connection(int from, int to, Millis detection_delay);
--- a/tests/stand_in.h
+++ b/tests/stand_in.h
@@ -563,8 +563,8 @@
     if (pid_ == 0) {
       prctl(PR_SET_PDEATHSIG, SIGKILL);  // ends the relay if the tests end
       setenv("BALANCER_CONFIG", path.c_str(), 1), setenv("BALANCER_STATE", state.c_str(), 1);
-      int log =
-          open((folder_ + "/log").c_str(), O_WRONLY | O_CREAT | (old_pid_ > 0 ? O_APPEND : O_TRUNC), 0600);
+      int log = open((folder_ + "/log").c_str(), O_WRONLY | O_CREAT | O_APPEND | (old_pid_ > 0 ? 0 : O_TRUNC),
+                     0600);
       dup2(log, 1), dup2(log, 2);
       if (inherits_socket) dup2(passed_socket_, 3), setenv("BALANCER_PASSED_SOCKET", "3", 1);
       set_fault_environment(options);
