--- a/src/bench/fleet_bench.cpp
+++ b/src/bench/fleet_bench.cpp
@@ -26,7 +26,7 @@
 using trial::Millis;
 using trial::Setup;
 
-constexpr int exit_done = 0, exit_failed = 1, exit_bad_arguments = 2;
+constexpr int exit_success = 0, exit_failed = 1, exit_bad_arguments = 2;
 
 struct Arguments {
   std::string part, program, baseline;
@@ -35,12 +35,12 @@
 };
 
 // Formats the minimum, median and maximum of several runs.
-std::string format_spread(std::vector<double> all, int client_addresses = 0) {
+std::string format_spread(std::vector<double> all, int decimals = 0) {
   if (all.empty()) return "none";
   std::sort(all.begin(), all.end());
   char text[100];
-  std::snprintf(text, sizeof text, "%.*f / %.*f / %.*f", client_addresses, all.front(), client_addresses,
-                all[all.size() / 2], client_addresses, all.back());
+  std::snprintf(text, sizeof text, "%.*f / %.*f / %.*f", decimals, all.front(), decimals, all[all.size() / 2],
+                decimals, all.back());
   return text;
 }
 double quantile(std::vector<Millis> all, double share) {
@@ -97,7 +97,7 @@
                          {{"for", "1"}, {"rate", "20000"}, {"hall", i % 2 ? "h1" : "h0"}});
   start_all(harness, harness.setup().fleet);
   wait_for(harness, 300);
-  auto used = [&] {
+  auto total_cpu_time = [&] {
     Millis sum = 0;
     for (const auto& name : harness.relay_names()) sum += cpu_time(harness.pid_of(name));
     return sum;
@@ -105,12 +105,13 @@
   AcceptedRun run;
   LoadSettings load_settings;
   load_settings.relays = client_addresses(harness), load_settings.id_prefix = "p", load_settings.rate = pace;
-  auto before = used();
+  auto before = total_cpu_time();
   Load paced(load_settings);
   wait_for(harness, arguments.seconds * 1000);
   auto first = paced.stop(0);
   wait_for(harness, 200);
-  run.cost = (used() - before) * 1000 / static_cast<double>(std::max<std::uint64_t>(first.accepted, 1));
+  run.cost =
+      (total_cpu_time() - before) * 1000 / static_cast<double>(std::max<std::uint64_t>(first.accepted, 1));
   run.p50 = quantile(first.answer_times, 0.5), run.p99 = quantile(first.answer_times, 0.99);
   load_settings.id_prefix = "s",
   load_settings.window = 256;  // relays answer once per tick, so a small window would measure the tick
@@ -152,19 +153,20 @@
       "\n| part | documents a second | share of off in the same round | +OK p50 ms | +OK p99 ms | CPU time a "
       "document, us | -BUSY |\n| --- | --- | --- | --- | --- | --- | --- |\n");
   for (const auto& mode : modes) {
-    auto of = [&](double AcceptedRun::*what) {
+    auto values_of = [&](double AcceptedRun::*field) {
       std::vector<double> out;
-      for (const auto& run : runs[mode.name]) out.push_back(run.*what);
+      for (const auto& run : runs[mode.name]) out.push_back(run.*field);
       return out;
     };
     std::vector<double> shares;
     for (std::size_t i = 0; i < runs[mode.name].size(); ++i)
       shares.push_back(runs[mode.name][i].rate / runs["off"][i].rate);
     std::printf("| %s | %s | %s | %s | %s | %s | %s |\n", mode.name.c_str(),
-                format_spread(of(&AcceptedRun::rate)).c_str(), format_spread(shares, 2).c_str(),
-                format_spread(of(&AcceptedRun::p50), 2).c_str(),
-                format_spread(of(&AcceptedRun::p99), 2).c_str(),
-                format_spread(of(&AcceptedRun::cost)).c_str(), format_spread(of(&AcceptedRun::busy)).c_str());
+                format_spread(values_of(&AcceptedRun::rate)).c_str(), format_spread(shares, 2).c_str(),
+                format_spread(values_of(&AcceptedRun::p50), 2).c_str(),
+                format_spread(values_of(&AcceptedRun::p99), 2).c_str(),
+                format_spread(values_of(&AcceptedRun::cost)).c_str(),
+                format_spread(values_of(&AcceptedRun::busy)).c_str());
   }
 }
 
@@ -182,33 +184,33 @@
     for (const auto& to : harness.relay_names())
       if (link_delay > 0 && from != to) harness.set_link(from, to, trial::LinkState::slow, link_delay);
   wait_for(harness, 1000);
-  std::vector<Millis> known;
+  std::vector<Millis> propagation_times;
   for (int i = 1; i <= runs; ++i) {
     auto names = harness.relay_names();
-    auto informed_relay = names[static_cast<std::size_t>(i) % names.size()], id = "d" + std::to_string(i);
-    std::map<std::string, std::size_t> seen;
-    for (const auto& name : names) seen[name] = harness.process_log(name).size();
+    auto refused_relay = names[static_cast<std::size_t>(i) % names.size()], id = "d" + std::to_string(i);
+    std::map<std::string, std::size_t> log_sizes;
+    for (const auto& name : names) log_sizes[name] = harness.process_log(name).size();
     auto from = harness.log().size();
-    harness.submit(informed_relay, id, {{"for", std::to_string(i)}, {"left", "600"}});
+    harness.submit(refused_relay, id, {{"for", std::to_string(i)}, {"left", "600"}});
     if (!harness.run_until(3000, [&] { return harness.count_entries("answer", {{"id", id}}, from) > 0; }))
       throw std::runtime_error("no call of " + id);
     Millis answered_at = 0;
     for (auto at = from; at < harness.log().size(); ++at)
       if (harness.log()[at].matches("answer", {{"id", id}})) answered_at = harness.log()[at].at;
-    auto all_know = [&] {
+    auto all_informed = [&] {
       return std::all_of(names.begin(), names.end(), [&](const auto& name) {
-        return name == informed_relay ||
-               harness.process_log(name).find("Retry-After wait reported by another relay", seen[name]) !=
-                   std::string::npos;
+        return name == refused_relay ||
+               harness.process_log(name).find("Retry-After wait reported by another relay",
+                                              log_sizes[name]) != std::string::npos;
       });
     };
     auto end = harness.now() + 3000;
-    while (!all_know() && harness.now() < end) wait_for(harness, 0.5);
+    while (!all_informed() && harness.now() < end) wait_for(harness, 0.5);
     if (harness.now() >= end) std::fprintf(stderr, "wait %d is not known to all relays after 3 s\n", i);
-    known.push_back(harness.now() - answered_at);
+    propagation_times.push_back(harness.now() - answered_at);
     wait_for(harness, 120);
   }
-  return known;
+  return propagation_times;
 }
 
 void measure_waits(const Arguments& arguments) {
@@ -216,18 +218,18 @@
       "\n| link delay | runs | p50 ms | p99 ms | min / median / max ms | target: p99 under |\n"
       "| --- | --- | --- | --- | --- | --- |\n");
   for (Millis link_delay : {0.0, 10.0}) {
-    auto known = run_waits(arguments, link_delay, 40);
-    std::printf("| %.0f ms | %zu | %.1f | %.1f | %s | %.0f ms |\n", link_delay, known.size(),
-                quantile(known, 0.5), quantile(known, 0.99), format_spread(known, 1).c_str(),
-                2 * link_delay + 50);
+    auto propagation_times = run_waits(arguments, link_delay, 40);
+    std::printf("| %.0f ms | %zu | %.1f | %.1f | %s | %.0f ms |\n", link_delay, propagation_times.size(),
+                quantile(propagation_times, 0.5), quantile(propagation_times, 0.99),
+                format_spread(propagation_times, 1).c_str(), 2 * link_delay + 50);
   }
 }
 
 // ---- a kill
 
 struct KillRun {
-  Millis took = -1;
-  std::size_t unfinished_at_kill = 0, left = 0;
+  Millis duration = -1;
+  std::size_t unfinished_at_kill = 0, without_answer = 0;
 };
 
 KillRun run_kill(const Arguments& arguments, const std::string& lease, unsigned long seed) {
@@ -247,9 +249,10 @@
   harness.kill("n1");
   auto killed = harness.now();
   bool all_ended = harness.run_until(19000, [&] { return harness.documents_without_end().empty(); });
-  run.took = harness.now() - killed, run.left = harness.documents_without_end().size();
+  run.duration = harness.now() - killed, run.without_answer = harness.documents_without_end().size();
   if (!all_ended)
-    std::fprintf(stderr, "%zu of %zu documents have no final answer\n", run.left, run.unfinished_at_kill);
+    std::fprintf(stderr, "%zu of %zu documents have no final answer\n", run.without_answer,
+                 run.unfinished_at_kill);
   return run;
 }
 
@@ -262,26 +265,27 @@
   for (int round = 0; round < arguments.rounds; ++round)
     for (const auto* lease : {"1000", "2000"})
       runs[lease].push_back(run_kill(arguments, lease, static_cast<unsigned long>(round) + 1));
-  for (const auto& [lease, all_plays] : runs) {
-    std::vector<double> took, unfinished_at_kill;
-    std::size_t left = 0;
-    for (const auto& run : all_plays) {
-      took.push_back(run.took), unfinished_at_kill.push_back(static_cast<double>(run.unfinished_at_kill));
-      left += run.left;
+  for (const auto& [lease, lease_runs] : runs) {
+    std::vector<double> durations, unfinished_at_kill;
+    std::size_t without_answer = 0;
+    for (const auto& run : lease_runs) {
+      durations.push_back(run.duration),
+          unfinished_at_kill.push_back(static_cast<double>(run.unfinished_at_kill));
+      without_answer += run.without_answer;
     }
-    std::printf("| %s ms | %zu | %s | %s | %zu |\n", lease.c_str(), all_plays.size(),
-                format_spread(unfinished_at_kill).c_str(), format_spread(took).c_str(), left);
+    std::printf("| %s ms | %zu | %s | %s | %zu |\n", lease.c_str(), lease_runs.size(),
+                format_spread(unfinished_at_kill).c_str(), format_spread(durations).c_str(), without_answer);
   }
 }
 
 // ---- a replacement
 
 constexpr int popular_destinations = 30;  // one endpoint for each destination, chosen by a Zipf distribution
-// a call this soon after its connection opened has waited for the handshake
+// A call this soon after its connection opened has waited for the handshake.
 constexpr Millis immediate_call = 5;
-constexpr Millis search_window = 250;  // for finding the steady state
-constexpr Millis warm_up = 4000;       // traffic before the kill; its second half is the steady state
-constexpr Millis observed = 8000;      // time observed after the replacement started
+constexpr Millis search_window = 250;      // for finding the steady state
+constexpr Millis warm_up = 4000;           // traffic before the kill; its second half is the steady state
+constexpr Millis observation_time = 8000;  // time observed after the replacement started
 
 struct ReplacedRun {
   double handshakes_met = 0, steady_after = 0, wasted = 0, refused = 0, opened = 0;
@@ -318,7 +322,7 @@
   harness.empty_folder("n5");
   harness.start_without_waiting("n5", {});
   auto from = harness.log().size();
-  wait_for(harness, observed);
+  wait_for(harness, observation_time);
   load.stop(0);
   // When a connection opened and when its first call came. A call waited for a handshake if it is the first
   // on its connection and came right after it opened.
@@ -328,7 +332,7 @@
   std::map<std::string, Connection> connections;
   std::map<int, std::pair<int, int>> windows;  // calls, and those that waited for a handshake
   int steady_calls = 0, steady_met = 0;
-  Millis began = -1;
+  Millis first_call_at = -1;
   ReplacedRun run;
   for (std::size_t at = 0; at < harness.log().size(); ++at) {
     const auto& entry = harness.log()[at];
@@ -339,22 +343,22 @@
     if (entry.kind == "conn") connections[entry.field("conn")] = {entry.at, -1};
     if (entry.kind != "call") continue;
     auto& connection = connections[entry.field("conn")];
-    bool handshakes_met = connection.first < 0 && entry.at - connection.up < immediate_call;
+    bool met_handshake = connection.first < 0 && entry.at - connection.up < immediate_call;
     if (connection.first < 0) connection.first = entry.at;
     if (at < from) {
-      if (entry.at > killed - warm_up / 2) ++steady_calls, steady_met += handshakes_met;
+      if (entry.at > killed - warm_up / 2) ++steady_calls, steady_met += met_handshake;
       continue;
     }
-    if (began < 0) began = entry.at;
-    auto& counted = windows[static_cast<int>((entry.at - began) / search_window)];
-    ++counted.first, counted.second += handshakes_met, run.handshakes_met += handshakes_met;
+    if (first_call_at < 0) first_call_at = entry.at;
+    auto& window = windows[static_cast<int>((entry.at - first_call_at) / search_window)];
+    ++window.first, window.second += met_handshake, run.handshakes_met += met_handshake;
   }
   for (const auto& [number, connection] : connections)
     if (connection.up > killed) ++run.opened, run.wasted += connection.first < 0;
   auto steady = 1 - static_cast<double>(steady_met) / std::max(steady_calls, 1);
   // The end of the last window that is below 90% of the steady state.
-  for (const auto& [number, counted] : windows)
-    if (1 - static_cast<double>(counted.second) / counted.first < 0.9 * steady)
+  for (const auto& [number, window] : windows)
+    if (1 - static_cast<double>(window.second) / window.first < 0.9 * steady)
       run.steady_after = search_window * (number + 1);
   return run;
 }
@@ -373,17 +377,17 @@
       "\n| replacement | documents that waited for a handshake in its first %.0f s | steady after, ms | "
       "connections | "
       "never used | calls refused |\n| --- | --- | --- | --- | --- | --- |\n",
-      observed / 1000);
-  for (auto& [warmed, own] : runs) {
-    auto of = [&, &own = own](double ReplacedRun::*what) {
+      observation_time / 1000);
+  for (auto& [warmed, kind_runs] : runs) {
+    auto format_field = [&, &kind_runs = kind_runs](double ReplacedRun::*field) {
       std::vector<double> out;
-      for (const auto& run : own) out.push_back(run.*what);
+      for (const auto& run : kind_runs) out.push_back(run.*field);
       return format_spread(out);
     };
     std::printf("| %s | %s | %s | %s | %s | %s |\n", warmed ? "warmed" : "cold",
-                of(&ReplacedRun::handshakes_met).c_str(), of(&ReplacedRun::steady_after).c_str(),
-                of(&ReplacedRun::opened).c_str(), of(&ReplacedRun::wasted).c_str(),
-                of(&ReplacedRun::refused).c_str());
+                format_field(&ReplacedRun::handshakes_met).c_str(),
+                format_field(&ReplacedRun::steady_after).c_str(), format_field(&ReplacedRun::opened).c_str(),
+                format_field(&ReplacedRun::wasted).c_str(), format_field(&ReplacedRun::refused).c_str());
   }
 }
 
@@ -399,7 +403,7 @@
       "old", "another rockcrank to compare with, run without a fleet file", cxxopts::value<std::string>())(
       "h,help", "print this help");
   auto parsed = options.parse(argc, argv);
-  if (parsed.count("help")) std::fputs(options.help().c_str(), stdout), std::exit(exit_done);
+  if (parsed.count("help")) std::fputs(options.help().c_str(), stdout), std::exit(exit_success);
   if (!parsed.unmatched().empty())
     throw std::runtime_error("unexpected argument '" + parsed.unmatched().front() + "'");
   Arguments arguments;
@@ -416,8 +420,8 @@
       arguments.part != "kill" && arguments.part != "replaced")
     reject("--part must be taken, waits, kill or replaced, not '" + arguments.part + "'");
   if (arguments.program.empty())
-    for (const char* place : {"rockcrank", "../rockcrank"}) {
-      auto beside = std::filesystem::read_symlink("/proc/self/exe").parent_path() / place;
+    for (const char* candidate : {"rockcrank", "../rockcrank"}) {
+      auto beside = std::filesystem::read_symlink("/proc/self/exe").parent_path() / candidate;
       if (arguments.program.empty() && std::filesystem::is_regular_file(beside))
         arguments.program = beside.string();
     }
@@ -450,5 +454,5 @@
     std::fprintf(stderr, "rockcrank_fleet_bench: %s\n", error.what());
     return exit_failed;
   }
-  return exit_done;
+  return exit_success;
 }
--- a/src/bench/latest_bench.cpp
+++ b/src/bench/latest_bench.cpp
@@ -22,7 +22,7 @@
 constexpr DestinationId joiner{5};
 constexpr int keys = 10000, documents = 1000000;
 const fleet::Roster single_member{{fleet::MemberId(1), "n1", "h0"}};
-const fleet::Roster two{{fleet::MemberId(1), "n1", "h0"}, {fleet::MemberId(2), "n2", "h0"}};
+const fleet::Roster two_members{{fleet::MemberId(1), "n1", "h0"}, {fleet::MemberId(2), "n2", "h0"}};
 
 LatestSettings settings_for(std::vector<DestinationId> subscribers) {
   LatestSettings settings;
@@ -77,7 +77,7 @@
   }
 };
 
-// Takes 1,000,000 documents over 10,000 keys at 10,000 a second; then a subscriber joins, with one new
+// Accepts 1,000,000 documents over 10,000 keys at 10,000 a second; then a subscriber joins, with one new
 // document for every 20 deliveries.
 void late_joiner(benchmark::State& state) {
   for (auto run : state) {
@@ -131,12 +131,12 @@
 void catch_up(benchmark::State& state) {
   for (auto run : state) {
     Folder folder;
-    LogDriver one, other;
-    one.open(folder.path / "1", two, fleet::MemberId(1), {}),
-        other.open(folder.path / "2", two, fleet::MemberId(2), {});
+    LogDriver first, second;
+    first.open(folder.path / "1", two_members, fleet::MemberId(1), {}),
+        second.open(folder.path / "2", two_members, fleet::MemberId(2), {});
     std::uint64_t full_copy_bytes = 0, catch_up_bytes = 0, messages = 0;
-    constexpr int all = 100000;
-    for (int i = 0; i < all; ++i) {
+    constexpr int key_count = 100000;
+    for (int i = 0; i < key_count; ++i) {
       Record record;
       record.stream = stream, record.key = "account-" + std::to_string(i),
       record.id = "doc-" + std::to_string(i);
@@ -144,28 +144,28 @@
       record.timestamp = {1000000000000, static_cast<std::uint32_t>(i), fleet::MemberId(1)};
       LatestMessage message;
       message.records = {record}, full_copy_bytes += peer::packed(record).size();
-      one.log->on_message(fleet::MemberId(2), message);
+      first.log->on_message(fleet::MemberId(2), message);
       if (i % 100 == 0) record.timestamp.wall_time -= 1000, record.body[0] = 'a', message.records = {record};
-      other.log->on_message(fleet::MemberId(1), message);
+      second.log->on_message(fleet::MemberId(1), message);
     }
-    auto start = one.now;
+    auto start = first.now;
     for (bool up : {true}) {
-      one.log->begin_turn(one.now, 1e12), one.log->module().on_link_change(fleet::MemberId(2), up);
-      other.log->begin_turn(other.now, 1e12), other.log->module().on_link_change(fleet::MemberId(1), up);
+      first.log->begin_turn(first.now, 1e12), first.log->module().on_link_change(fleet::MemberId(2), up);
+      second.log->begin_turn(second.now, 1e12), second.log->module().on_link_change(fleet::MemberId(1), up);
     }
-    while (one.log->module().digest(stream) != other.log->module().digest(stream) &&
-           one.now < start + 600000) {
-      auto one_actions = one.turn(5), other_actions = other.turn(5);
-      for (const auto& [to, message] : one_actions.sends)
+    while (first.log->module().digest(stream) != second.log->module().digest(stream) &&
+           first.now < start + 600000) {
+      auto first_actions = first.turn(5), second_actions = second.turn(5);
+      for (const auto& [to, message] : first_actions.sends)
         catch_up_bytes += peer::packed(message).size(), ++messages,
-            other.log->on_message(fleet::MemberId(1), message);
-      for (const auto& [to, message] : other_actions.sends)
+            second.log->on_message(fleet::MemberId(1), message);
+      for (const auto& [to, message] : second_actions.sends)
         catch_up_bytes += peer::packed(message).size(), ++messages,
-            one.log->on_message(fleet::MemberId(2), message);
+            first.log->on_message(fleet::MemberId(2), message);
     }
     state.counters["bytes_of_whole"] =
         static_cast<double>(catch_up_bytes) / static_cast<double>(full_copy_bytes);
-    state.counters["virtual_ms"] = one.now - start;
+    state.counters["virtual_ms"] = first.now - start;
     state.counters["messages"] = static_cast<double>(messages);
   }
 }
--- a/src/bench/load.cpp
+++ b/src/bench/load.cpp
@@ -12,7 +12,7 @@
 
 std::string command(const std::vector<std::string>& words) {
   auto out = "*" + std::to_string(words.size()) + "\r\n";
-  for (const auto& one : words) out += "$" + std::to_string(one.size()) + "\r\n" + one + "\r\n";
+  for (const auto& word : words) out += "$" + std::to_string(word.size()) + "\r\n" + word + "\r\n";
   return out;
 }
 
@@ -45,11 +45,11 @@
   }
   result_.duration = event_loop_.now() - started_at_;
   auto accepted = result_.accepted;
-  auto open = [&] {
+  auto has_unanswered = [&] {
     return std::any_of(connections_.begin(), connections_.end(),
                        [](auto& connection) { return !connection.submitted_at.empty(); });
   };
-  for (auto end = event_loop_.now() + answer_timeout_; open() && event_loop_.now() < end;)
+  for (auto end = event_loop_.now() + answer_timeout_; has_unanswered() && event_loop_.now() < end;)
     event_loop_.run_once(5);
   if (settings_.window > 0) result_.accepted = accepted;  // excludes answers after the end from the rate
   for (const auto& connection : connections_) result_.unanswered += connection.submitted_at.size();
--- a/src/trial/auditor.cpp
+++ b/src/trial/auditor.cpp
@@ -19,13 +19,13 @@
 constexpr Time never = 1e18;
 
 // Tolerances for delays of the test machine and of the harness's poll loop.
-constexpr Time answer_slack = 500;    // after a document's expiry
-constexpr Time delivery_slack = 150;  // from writing a call or an answer to reading it
-constexpr Time wait_slack = 60;       // a wait counts from when the relay reads the answer
-constexpr Time read_within = 250;     // for an answer to a running process
-constexpr Time tried_within = 500;    // for an accepted document when there is no other fault
-constexpr Time known_within = 1000;   // by a relay that is linked to one that has the knowledge
-constexpr Time redial_within = 2500;  // after a cut, or after a missing member returns
+constexpr Time answer_slack = 500;       // after a document's expiry
+constexpr Time delivery_slack = 150;     // from writing a call or an answer to reading it
+constexpr Time wait_slack = 60;          // a wait counts from when the relay reads the answer
+constexpr Time answer_read_time = 250;   // until a running process has read an answer
+constexpr Time first_call_time = 500;    // from accepting a document to its first call, without other faults
+constexpr Time propagation_time = 1000;  // from one relay to another that is linked to it
+constexpr Time reconnect_time = 2500;    // after a cut, or after a missing member returns
 constexpr Time client_timeout = 3000;
 constexpr Time drain_slack = 300;
 constexpr Time recovery_time = 8000;  // after the last fault: takeovers, catch-up and held documents
@@ -45,10 +45,10 @@
 };
 
 struct Call {
-  Time began = 0, received_at = 0, answered = never, broke = never, wait = 0;
+  Time started_at = 0, received_at = 0, answered_at = never, broken_at = never, wait = 0;
   std::string relay, endpoint, dest, id, idempotency_key, key;
   long version = 0;
-  int life = 0, status = 0;
+  int incarnation = 0, status = 0;
   // Whether the status proves that the document did not run; any other status leaves that open.
   bool surely_not_run() const {
     return status == 429 || status == 503 || status == 400 || status == 413 || status == 504 || status == 410;
@@ -57,14 +57,14 @@
 struct Notice {
   Time at = 0;
   std::string relay, status;
-  int life = 0;
+  int incarnation = 0;
 };
 struct Document {
   std::string id, relay, type, dest, key, idempotency_key, client;
   long version = 0;
   Time submitted_at = 0, answered_at = never, expiry = never;
   std::string answer;  // OK, BUSY or ERR, as the client received it
-  int life = 0, sequence = 0;
+  int incarnation = 0, sequence = 0;
   bool connection_lost = false, tombstone = false;
   std::vector<Call> calls;
   std::vector<Notice> notices;
@@ -81,21 +81,24 @@
   bool overlaps(Time a, Time b) const { return from <= b && a < to; }
 };
 struct Relay {
-  std::vector<Interval> up, stalled;
-  std::vector<Time> lost;  // when its folder was emptied or replaced by an older copy
-  std::vector<Time> disk_full;
+  std::vector<Interval> running, suspended;
+  std::vector<Time> folder_lost_at;  // when its folder was emptied or replaced by an older copy
+  std::vector<Time> disk_full_at;
   bool is_duplicate = false;
   bool runs(Time at) const {
-    auto holds = [&](const Interval& span) { return span.contains(at); };
-    return std::any_of(up.begin(), up.end(), holds) && std::none_of(stalled.begin(), stalled.end(), holds);
+    auto contains_time = [&](const Interval& span) { return span.contains(at); };
+    return std::any_of(running.begin(), running.end(), contains_time) &&
+           std::none_of(suspended.begin(), suspended.end(), contains_time);
   }
   bool runs_throughout(Time a, Time b) const {
-    return std::any_of(up.begin(), up.end(), [&](const Interval& s) { return s.from <= a && b < s.to; }) &&
-           std::none_of(stalled.begin(), stalled.end(), [&](const Interval& s) { return s.overlaps(a, b); });
+    return std::any_of(running.begin(), running.end(),
+                       [&](const Interval& s) { return s.from <= a && b < s.to; }) &&
+           std::none_of(suspended.begin(), suspended.end(),
+                        [&](const Interval& s) { return s.overlaps(a, b); });
   }
-  int life(Time at) const {
+  int incarnation(Time at) const {
     int count = 0;
-    for (const auto& span : up) count += span.from <= at;
+    for (const auto& span : running) count += span.from <= at;
     return count;
   }
 };
@@ -127,16 +130,16 @@
         if (equals == std::string::npos) throw std::runtime_error("cannot parse the log line: " + text);
         line.fields[word.substr(0, equals)] = word.substr(equals + 1);
       }
-      take(line);
+      apply(line);
       lines_.push_back(std::move(line));
     }
     end_ = lines_.empty() ? 0 : lines_.back().at;
   }
 
-  void take(const Line& line) {
+  void apply(const Line& line) {
     const auto& kind = line.kind;
     auto relay = line.field("r"), id = line.field("id");
-    auto life = [&] { return relays_[relay].life(line.at); };
+    auto incarnation = [&] { return relays_[relay].incarnation(line.at); };
     if (kind == "set") settings_ = line;
     else if (kind == "type")
       types_[line.field("name")] = {line.field("repeat"), line.field("scope"), line.number("window"),
@@ -145,18 +148,18 @@
       destination_of_[line.field("e")] = line.field("dest"), zone_of_[line.field("e")] = line.field("hall"),
       rate_of_[line.field("dest")] += line.number("rate");
     else if (kind == "relay") relays_[relay].is_duplicate = !line.field("twin").empty();
-    else if (kind == "start") relays_[relay].up.push_back({line.at, never}), add_disturbance(line.at);
+    else if (kind == "start") relays_[relay].running.push_back({line.at, never}), add_disturbance(line.at);
     else if (kind == "kill" || kind == "exit") {
-      auto& here = relays_[relay];
-      if (!here.up.empty()) here.up.back().to = std::min(here.up.back().to, line.at);
-      if (!here.stalled.empty()) here.stalled.back().to = std::min(here.stalled.back().to, line.at);
+      auto& state = relays_[relay];
+      if (!state.running.empty()) state.running.back().to = std::min(state.running.back().to, line.at);
+      if (!state.suspended.empty()) state.suspended.back().to = std::min(state.suspended.back().to, line.at);
       add_disturbance(line.at);
     } else if (kind == "term") add_disturbance(line.at);
-    else if (kind == "stop") relays_[relay].stalled.push_back({line.at, never}), add_disturbance(line.at);
-    else if (kind == "cont") relays_[relay].stalled.back().to = line.at, add_disturbance(line.at);
-    else if (kind == "folder") relays_[relay].lost.push_back(line.at), add_disturbance(line.at);
+    else if (kind == "stop") relays_[relay].suspended.push_back({line.at, never}), add_disturbance(line.at);
+    else if (kind == "cont") relays_[relay].suspended.back().to = line.at, add_disturbance(line.at);
+    else if (kind == "folder") relays_[relay].folder_lost_at.push_back(line.at), add_disturbance(line.at);
     else if (kind == "full" || kind == "roomy")
-      relays_[relay].disk_full.push_back(line.at), add_disturbance(line.at);
+      relays_[relay].disk_full_at.push_back(line.at), add_disturbance(line.at);
     else if (kind == "link") {
       auto& cuts = cuts_[{line.field("i"), line.field("j")}];
       if (!cuts.empty() && cuts.back().to == never) cuts.back().to = line.at;
@@ -164,7 +167,7 @@
       add_disturbance(line.at);
     } else if (kind == "reset" || kind == "tear" || kind == "corrupt" || kind == "flood") {
       // Counts the link as down until it has had time to reconnect.
-      cuts_[{line.field("i"), line.field("j")}].push_back({line.at, line.at + known_within}),
+      cuts_[{line.field("i"), line.field("j")}].push_back({line.at, line.at + propagation_time}),
           add_disturbance(line.at);
     } else if (kind == "told") listed_states_[{relay, line.field("e")}].push_back(line);
     else if (kind == "fails" || kind == "works")
@@ -175,29 +178,31 @@
       Document& doc = documents_[id];
       doc.id = id, doc.relay = relay, doc.type = line.field("type"), doc.dest = line.field("dest");
       doc.key = line.field("key"), doc.idempotency_key = line.field("mark"), doc.client = line.field("c");
-      doc.version = std::lround(line.number("v")), doc.submitted_at = line.at, doc.life = life();
+      doc.version = std::lround(line.number("v")), doc.submitted_at = line.at,
+      doc.incarnation = incarnation();
       doc.expiry = line.at + line.number("left"), doc.sequence = ++submitted_count_,
       doc.tombstone = line.field("empty") == "1";
     } else if (kind == "said")
       documents_[id].answered_at = line.at, documents_[id].answer = line.field("what");
     else if (kind == "unsaid") documents_[id].connection_lost = true;
     else if (kind == "notice")
-      documents_[id].notices.push_back({line.at, relay, line.field("status"), life()});
+      documents_[id].notices.push_back({line.at, relay, line.field("status"), incarnation()});
     else if (kind == "call") {
       Call call;
-      call.began = line.number("began", line.at), call.received_at = line.at, call.relay = relay;
+      call.started_at = line.number("began", line.at), call.received_at = line.at, call.relay = relay;
       call.endpoint = line.field("e"), call.dest = line.field("dest"), call.id = id,
       call.idempotency_key = line.field("mark");
-      call.key = line.field("key"), call.version = std::lround(line.number("v")), call.life = life();
+      call.key = line.field("key"), call.version = std::lround(line.number("v")),
+      call.incarnation = incarnation();
       documents_[id].calls.push_back(call);
     } else if (kind == "answer" || kind == "broke") {
       auto& calls = documents_[id].calls;
       for (auto call = calls.rbegin(); call != calls.rend(); ++call)
-        if (call->relay == relay && call->endpoint == line.field("e") && call->answered == never &&
-            call->broke == never) {
-          if (kind == "broke") call->broke = line.at;
+        if (call->relay == relay && call->endpoint == line.field("e") && call->answered_at == never &&
+            call->broken_at == never) {
+          if (kind == "broke") call->broken_at = line.at;
           else
-            call->answered = line.at, call->status = static_cast<int>(line.number("status")),
+            call->answered_at = line.at, call->status = static_cast<int>(line.number("status")),
             call->wait = line.number("wait");
           break;
         }
@@ -207,8 +212,8 @@
   static std::set<std::string> split_list(const std::string& list) {
     std::set<std::string> all;
     std::istringstream in(list);
-    for (std::string one; std::getline(in, one, ',');)
-      if (!one.empty()) all.insert(one);
+    for (std::string item; std::getline(in, item, ',');)
+      if (!item.empty()) all.insert(item);
     return all;
   }
   // Collects the calls that deliver a stream's documents. Each subscriber gets a document under its id with
@@ -217,19 +222,19 @@
   void collect_deliveries() {
     for (auto& [id, doc] : documents_) {
       auto dot = id.rfind('.');
-      const Document* of = &doc;
+      const Document* source = &doc;
       if (doc.relay.empty()) {
         auto base = documents_.find(id.substr(0, dot));
         if (dot == std::string::npos || base == documents_.end() || base->second.relay.empty()) continue;
-        of = &base->second;
+        source = &base->second;
       }
-      auto type = types_.find(of->type);
-      if (type == types_.end() || of->key == "0") continue;
+      auto type = types_.find(source->type);
+      if (type == types_.end() || source->key == "0") continue;
       for (auto& call : doc.calls) {
         if (!type->second.subscribers.count(call.dest)) continue;
         if (doc.relay.empty() && call.dest != id.substr(dot + 1)) continue;
-        call.key = of->key, call.version = of->version;
-        deliveries_.push_back({&call, of});
+        call.key = source->key, call.version = source->version;
+        deliveries_.push_back({&call, source});
       }
     }
   }
@@ -245,30 +250,31 @@
   // ---- state at a given time
 
   void add_disturbance(Time at) { disturbances_.push_back(at); }
-  bool share() const { return settings_.field("share") == "1"; }
+  bool sharing_enabled() const { return settings_.field("share") == "1"; }
   int copies() const { return static_cast<int>(settings_.number("copies")); }
 
   // Whether both relays ran and no fault was on the link between them in either direction.
-  bool undisturbed_between(const std::string& one, const std::string& other, Time a, Time b) const {
-    for (const auto& pair : {std::make_pair(one, other), std::make_pair(other, one)}) {
+  bool undisturbed_between(const std::string& first, const std::string& second, Time a, Time b) const {
+    for (const auto& pair : {std::make_pair(first, second), std::make_pair(second, first)}) {
       auto cuts = cuts_.find(pair);
       if (cuts != cuts_.end() && std::any_of(cuts->second.begin(), cuts->second.end(),
                                              [&](const Interval& cut) { return cut.overlaps(a, b); }))
         return false;
     }
-    return relays_.at(one).runs_throughout(a, b) && relays_.at(other).runs_throughout(a, b);
+    return relays_.at(first).runs_throughout(a, b) && relays_.at(second).runs_throughout(a, b);
   }
   // Whether messages surely pass between the two relays during the whole interval: either the link was free
   // of faults for long enough to reconnect, or the harness has since seen traffic on all links.
-  bool connected(const std::string& one, const std::string& other, Time a, Time b) const {
-    if (undisturbed_between(one, other, a - redial_within, b)) return true;
+  bool connected(const std::string& first, const std::string& second, Time a, Time b) const {
+    if (undisturbed_between(first, second, a - reconnect_time, b)) return true;
     auto seen = std::upper_bound(all_linked_at_.begin(), all_linked_at_.end(), a);
-    return seen != all_linked_at_.begin() && undisturbed_between(one, other, *std::prev(seen), b);
+    return seen != all_linked_at_.begin() && undisturbed_between(first, second, *std::prev(seen), b);
   }
   // Whether information that `from` had at `at` has surely reached `to` by `by`. It may travel over several
   // relays; the path must hold for the whole propagation time, either right after `at` or right before `by`.
   bool surely_informed(const std::string& from, const std::string& to, Time at, Time by) const {
-    if (!share() || by < at + known_within || !relays_.at(to).runs_throughout(by - known_within, by))
+    if (!sharing_enabled() || by < at + propagation_time ||
+        !relays_.at(to).runs_throughout(by - propagation_time, by))
       return false;
     auto reaches = [&](Time a, Time b) {
       std::set<std::string> reached{from};
@@ -277,19 +283,19 @@
         for (const auto& [name, relay] : relays_)
           if (!reached.count(name) && !relay.is_duplicate &&
               std::any_of(reached.begin(), reached.end(),
-                          [&](const auto& one) { return connected(one, name, a, b); }))
+                          [&](const auto& informed) { return connected(informed, name, a, b); }))
             reached.insert(name), grew = true;
       }
       return reached.count(to) > 0;
     };
-    return (relays_.at(to).runs_throughout(at, by) && reaches(at, at + known_within)) ||
-           (relays_.at(from).runs_throughout(at, by) && reaches(by - known_within, by));
+    return (relays_.at(to).runs_throughout(at, by) && reaches(at, at + propagation_time)) ||
+           (relays_.at(from).runs_throughout(at, by) && reaches(by - propagation_time, by));
   }
   // Whether the relay that made the call surely read its answer.
   bool answer_was_read(const Call& call) const {
-    return call.answered < never &&
-           relays_.at(call.relay).runs_throughout(call.answered, call.answered + read_within) &&
-           relays_.at(call.relay).life(call.answered) == call.life;
+    return call.answered_at < never &&
+           relays_.at(call.relay).runs_throughout(call.answered_at, call.answered_at + answer_read_time) &&
+           relays_.at(call.relay).incarnation(call.answered_at) == call.incarnation;
   }
   // Whether a process or link had a fault, or a member was missing, during the interval.
   bool had_disturbance(Time a, Time b) const {
@@ -307,40 +313,41 @@
     std::size_t count = 0;
     for (const auto& [name, relay] : relays_) {
       if (relay.is_duplicate) continue;
-      bool gone = relay.up.empty() || (relay.up.back().to < end_);
-      bool folder =
-          std::any_of(relay.lost.begin(), relay.lost.end(), [&](Time at) { return from <= at && at <= to; });
-      count += gone || folder;
+      bool not_running = relay.running.empty() || (relay.running.back().to < end_);
+      bool lost_folder = std::any_of(relay.folder_lost_at.begin(), relay.folder_lost_at.end(),
+                                     [&](Time at) { return from <= at && at <= to; });
+      count += not_running || lost_folder;
     }
     return count;
   }
   bool folder_was_lost(const std::string& relay, Time from, Time to) const {
-    const auto& lost = relays_.at(relay).lost;
+    const auto& lost = relays_.at(relay).folder_lost_at;
     return std::any_of(lost.begin(), lost.end(), [&](Time at) { return from <= at && at <= to; });
   }
   // When a document must have its final answer: at its expiry or, if faults fell into its lifetime, the
   // recovery time after the last one.
   Time due(const Document& doc) const {
     Time due = doc.expiry;
-    for (bool moved = true; moved;) {
-      moved = false;
+    for (bool extended = true; extended;) {
+      extended = false;
       for (Time at : disturbances_)
         if (doc.submitted_at - 50 <= at && at <= due && at + recovery_time > due)
-          due = at + recovery_time, moved = true;
-      auto missing = [&](const Interval& span) {
+          due = at + recovery_time, extended = true;
+      auto extend_past = [&](const Interval& span) {
         if (!span.overlaps(doc.submitted_at, due)) return;
         auto until = std::min(span.to, end_) + recovery_time;
-        if (until > due) due = until, moved = true;
+        if (until > due) due = until, extended = true;
       };
       for (const auto& [pair, cuts] : cuts_)
-        for (const auto& cut : cuts) missing(cut);
+        for (const auto& cut : cuts) extend_past(cut);
       for (const auto& [name, relay] : relays_) {
-        for (const auto& stall : relay.stalled) missing(stall);
+        for (const auto& suspension : relay.suspended) extend_past(suspension);
         // A relay that never returns delays nothing if others hold copies. Without copies nobody else can end
         // the document, so it is never due.
-        for (std::size_t i = 0; i < relay.up.size(); ++i) {
-          bool back = i + 1 < relay.up.size();
-          if (back || copies() == 0) missing({relay.up[i].to, back ? relay.up[i + 1].from : never});
+        for (std::size_t i = 0; i < relay.running.size(); ++i) {
+          bool back = i + 1 < relay.running.size();
+          if (back || copies() == 0)
+            extend_past({relay.running[i].to, back ? relay.running[i + 1].from : never});
         }
       }
     }
@@ -356,18 +363,18 @@
                                               "reset", "tear", "corrupt", "full", "roomy",  "exit",
                                               "term",  "out",  "in",      "saved"};
     for (const auto& line : lines_) {
-      bool own = !line.field("id").empty() && ids.count(line.field("id"));
-      bool place =
+      bool same_document = !line.field("id").empty() && ids.count(line.field("id"));
+      bool same_place =
           !endpoint_or_dest.empty() &&
           (line.field("e") == endpoint_or_dest || line.field("dest") == endpoint_or_dest) &&
           (line.kind == "fails" || line.kind == "works" || line.kind == "list" || line.kind == "manner");
       bool fault = faults.count(line.kind) && from - 3000 <= line.at && line.at <= to;
-      if (own || place || fault) violation.evidence.push_back(line.text);
+      if (same_document || same_place || fault) violation.evidence.push_back(line.text);
     }
-    constexpr std::size_t most = 60;
-    if (violation.evidence.size() > most)
+    constexpr std::size_t max_evidence_lines = 60;
+    if (violation.evidence.size() > max_evidence_lines)
       violation.evidence.erase(violation.evidence.begin(),
-                               violation.evidence.end() - static_cast<std::ptrdiff_t>(most));
+                               violation.evidence.end() - static_cast<std::ptrdiff_t>(max_evidence_lines));
     violations_.push_back(std::move(violation));
   }
   static std::string ms(Time at) {
@@ -389,9 +396,10 @@
   void check_unknown() {
     for (const auto& [id, doc] : documents_)
       if (doc.relay.empty() && !doc.calls.empty() &&
-          std::none_of(deliveries_.begin(), deliveries_.end(), [&](auto& one) { return one.call->id == id; }))
+          std::none_of(deliveries_.begin(), deliveries_.end(),
+                       [&](auto& delivery) { return delivery.call->id == id; }))
         report("unknown", doc.calls[0].relay + " sent " + id + ", which no client submitted", {id},
-               doc.calls[0].began, doc.calls[0].received_at);
+               doc.calls[0].started_at, doc.calls[0].received_at);
   }
 
   // Each client gets an answer while the relay runs.
@@ -414,13 +422,13 @@
       if (doc.relay.empty()) continue;
       Time first = never;  // time of the first final answer
       for (const auto& call : doc.calls)
-        if (call.status == 200 || call.status == 410) first = std::min(first, call.answered);
+        if (call.status == 200 || call.status == 410) first = std::min(first, call.answered_at);
       for (const auto& notice : doc.notices) first = std::min(first, notice.at);
-      bool stream = to_subscriber(doc);  // ended by its deliveries, see check_versions()
-      if (doc.answer == "OK" && !stream) {
+      bool is_stream_delivery = to_subscriber(doc);  // ended by its deliveries, see check_versions()
+      if (doc.answer == "OK" && !is_stream_delivery) {
         bool excused = copies() > 0 ? lost_member_count(doc.submitted_at, end_) > 1
                                     : folder_was_lost(doc.relay, doc.submitted_at, end_) ||
-                                          (relays_.at(doc.relay).up.back().to < end_);
+                                          (relays_.at(doc.relay).running.back().to < end_);
         auto due_by = due(doc) + answer_slack;
         if (!excused && first == never && end_ > due_by)
           report("lost", id + " was accepted by " + doc.relay + " and has no final answer", {id},
@@ -437,40 +445,42 @@
     const auto& id = doc.id;
     for (std::size_t i = 0; i < doc.notices.size(); ++i)
       for (std::size_t j = i + 1; j < doc.notices.size(); ++j) {
-        const Notice &one = doc.notices[i], &other = doc.notices[j];
+        const Notice &first = doc.notices[i], &second = doc.notices[j];
         // The same final status may be reported twice after a restart or takeover, when the relay cannot know
         // whether the first report arrived.
-        bool may = one.status == other.status && had_disturbance(doc.submitted_at, other.at);
-        if (copies() == 0 && folder_was_lost(other.relay, doc.submitted_at, other.at)) may = true;
-        if (!may)
+        bool allowed = first.status == second.status && had_disturbance(doc.submitted_at, second.at);
+        if (copies() == 0 && folder_was_lost(second.relay, doc.submitted_at, second.at)) allowed = true;
+        if (!allowed)
           report("two-ends",
-                 id + " was reported as " + one.status + " by " + one.relay + " and then as " + other.status +
-                     " by " + other.relay,
-                 {id}, doc.submitted_at, other.at);
+                 id + " was reported as " + first.status + " by " + first.relay + " and then as " +
+                     second.status + " by " + second.relay,
+                 {id}, doc.submitted_at, second.at);
       }
-    auto forgotten = [&](const Call& call) {
+    auto record_was_lost = [&](const Call& call) {
       return copies() == 0 && folder_was_lost(call.relay, doc.submitted_at, call.received_at);
     };
     for (const auto& notice : doc.notices)
       for (const auto& call : doc.calls)
-        if (call.began > notice.at + delivery_slack && !forgotten(call))
+        if (call.started_at > notice.at + delivery_slack && !record_was_lost(call))
           report("after-end",
                  id + " was ended (" + notice.status + ") by " + notice.relay + " and then sent by " +
                      call.relay,
                  {id}, doc.submitted_at, call.received_at);
     if (to_subscriber(doc)) return;
-    for (const auto& one : doc.calls) {
-      if (one.status != 200 || !answer_was_read(one)) continue;
+    for (const auto& accepted : doc.calls) {
+      if (accepted.status != 200 || !answer_was_read(accepted)) continue;
       for (const auto& call : doc.calls)
-        if (call.began > one.answered + read_within && !had_disturbance(doc.submitted_at, call.began) &&
-            !forgotten(call))
-          report("after-end", id + " was answered to " + one.relay + " and then sent again by " + call.relay,
-                 {id}, doc.submitted_at, call.received_at);
+        if (call.started_at > accepted.answered_at + answer_read_time &&
+            !had_disturbance(doc.submitted_at, call.started_at) && !record_was_lost(call))
+          report("after-end",
+                 id + " was answered to " + accepted.relay + " and then sent again by " + call.relay, {id},
+                 doc.submitted_at, call.received_at);
       for (const auto& notice : doc.notices)
-        if (notice.at > one.answered + read_within && !had_disturbance(doc.submitted_at, notice.at))
+        if (notice.at > accepted.answered_at + answer_read_time &&
+            !had_disturbance(doc.submitted_at, notice.at))
           report("two-ends",
-                 id + " was answered to " + one.relay + " and then reported as " + notice.status + " by " +
-                     notice.relay,
+                 id + " was answered to " + accepted.relay + " and then reported as " + notice.status +
+                     " by " + notice.relay,
                  {id}, doc.submitted_at, notice.at);
     }
   }
@@ -483,18 +493,18 @@
       bool excused = copies() > 0 ? lost_member_count(doc.submitted_at, end_) > 1
                                   : folder_was_lost(doc.relay, doc.submitted_at, end_);
       if (excused) continue;
-      for (const auto& one : doc.calls) {
-        if (one.surely_not_run()) continue;
-        for (const auto& other : doc.calls)
-          if (other.received_at > one.received_at)
+      for (const auto& earlier : doc.calls) {
+        if (earlier.surely_not_run()) continue;
+        for (const auto& later : doc.calls)
+          if (later.received_at > earlier.received_at)
             report("effect-twice",
-                   "non-repeatable " + id + " may have run in " + one.relay +
-                       "'s call and was sent again by " + other.relay,
-                   {id}, doc.submitted_at, other.received_at);
+                   "non-repeatable " + id + " may have run in " + earlier.relay +
+                       "'s call and was sent again by " + later.relay,
+                   {id}, doc.submitted_at, later.received_at);
         for (const auto& notice : doc.notices)
-          if (notice.status == "deferred" && notice.at > one.received_at)
+          if (notice.status == "deferred" && notice.at > earlier.received_at)
             report("effect-twice",
-                   "non-repeatable " + id + " may have run in " + one.relay +
+                   "non-repeatable " + id + " may have run in " + earlier.relay +
                        "'s call and was given back for resubmission by " + notice.relay,
                    {id}, doc.submitted_at, notice.at);
       }
@@ -517,22 +527,23 @@
       bool excused = copies() > 0 ? lost_member_count(doc.submitted_at, end_) > 1
                                   : folder_was_lost(doc.relay, doc.submitted_at, end_);
       if (excused) continue;
-      const Call* risky = nullptr;
+      const Call* first_uncertain = nullptr;
       for (const auto& call : doc.calls) {
-        if (risky && call.began > risky->began + type.window + delivery_slack)
+        if (first_uncertain && call.started_at > first_uncertain->started_at + type.window + delivery_slack)
           report("window",
-                 "keyed " + id + " was sent again " + ms(call.began - risky->began) +
+                 "keyed " + id + " was sent again " + ms(call.started_at - first_uncertain->started_at) +
                      " ms after a call that may have run",
                  {id}, doc.submitted_at, call.received_at);
-        if (risky && type.scope == "zone" && zone_of_[call.endpoint] != zone_of_[risky->endpoint])
+        if (first_uncertain && type.scope == "zone" &&
+            zone_of_[call.endpoint] != zone_of_[first_uncertain->endpoint])
           report("window", "keyed " + id + " was sent again outside its key scope", {id}, doc.submitted_at,
                  call.received_at);
-        if (!risky && !call.surely_not_run()) risky = &call;
+        if (!first_uncertain && !call.surely_not_run()) first_uncertain = &call;
       }
     }
   }
 
-  // No calls to a draining or removed endpoint once the grace period after the announcement is over. A
+  // No calls to a draining or removed endpoint after the grace period that follows the announcement. A
   // suspended process gets the announcement when it resumes.
   void check_drains() {
     auto grace = settings_.number("grace");
@@ -542,16 +553,16 @@
         if (listed == listed_states_.end()) continue;
         Time since = never;
         for (const auto& line : listed->second) {
-          if (line.at > call.began) break;
+          if (line.at > call.started_at) break;
           if (line.field("state") == "Ready") since = never;
           else since = std::min(since, line.at);
         }
         if (since == never) continue;
-        for (const auto& stall : relays_.at(call.relay).stalled)
-          if (stall.overlaps(since, call.began)) since = std::max(since, stall.to);
-        if (call.began > since + grace + drain_slack)
+        for (const auto& suspension : relays_.at(call.relay).suspended)
+          if (suspension.overlaps(since, call.started_at)) since = std::max(since, suspension.to);
+        if (call.started_at > since + grace + drain_slack)
           report("drain",
-                 call.relay + " called " + call.endpoint + " " + ms(call.began - since) +
+                 call.relay + " called " + call.endpoint + " " + ms(call.started_at - since) +
                      " ms after it was announced as leaving",
                  {id}, since, call.received_at, call.endpoint);
       }
@@ -567,31 +578,32 @@
       for (const auto& call : doc.calls) calls[call.dest].push_back(&call);
     for (const auto& [endpoint, changes] : outage_changes_) {
       auto dest = destination_of_[endpoint];
-      auto here = std::count_if(destination_of_.begin(), destination_of_.end(),
-                                [&](auto& at) { return at.second == dest; });
-      if (here > 1) continue;  // the destination's other endpoints were up
-      auto& all = calls[dest];
-      std::sort(all.begin(), all.end(),
+      auto endpoint_count = std::count_if(destination_of_.begin(), destination_of_.end(),
+                                          [&](auto& entry) { return entry.second == dest; });
+      if (endpoint_count > 1) continue;  // the destination's other endpoints were up
+      auto& dest_calls = calls[dest];
+      std::sort(dest_calls.begin(), dest_calls.end(),
                 [](const Call* a, const Call* b) { return a->received_at < b->received_at; });
       for (std::size_t i = 1; i < changes.size(); ++i) {
         if (changes[i].second || !changes[i - 1].second) continue;
         Time down = changes[i - 1].first, back = changes[i].first;
         if (back - down < fall) continue;            // too short for all relays to count it as an outage
         std::map<std::string, Time> informed_since;  // by relay
-        for (const Call* call : all)
+        for (const Call* call : dest_calls)
           if (call->received_at >= down && call->received_at < back) {
-            auto failed = call->answered < never && call->status != 200 ? call->answered
-                          : call->broke < never                         ? call->broke
-                                                                        : never;
+            auto failed = call->answered_at < never && call->status != 200 ? call->answered_at
+                          : call->broken_at < never                        ? call->broken_at
+                                                                           : never;
             if (failed < back && !informed_since.count(call->relay)) informed_since[call->relay] = failed;
           }
         // A refused connection is not in the log, so a relay counts as informed if it accepted a document for
         // this destination early enough in the outage and kept running.
         for (const auto& [id, doc] : documents_) {
-          bool tried = doc.dest == dest && doc.submitted_at >= down && doc.submitted_at < back - tried_within;
-          if (tried && doc.answer == "OK" && !informed_since.count(doc.relay) &&
-              relays_[doc.relay].runs_throughout(doc.submitted_at, doc.submitted_at + tried_within))
-            informed_since[doc.relay] = doc.submitted_at + tried_within;
+          bool should_have_called =
+              doc.dest == dest && doc.submitted_at >= down && doc.submitted_at < back - first_call_time;
+          if (should_have_called && doc.answer == "OK" && !informed_since.count(doc.relay) &&
+              relays_[doc.relay].runs_throughout(doc.submitted_at, doc.submitted_at + first_call_time))
+            informed_since[doc.relay] = doc.submitted_at + first_call_time;
         }
         auto direct = informed_since;
         for (const auto& [relay, since] : direct)
@@ -599,20 +611,21 @@
             if (!informed_since.count(other) && !state.is_duplicate &&
                 surely_informed(relay, other, since, back))
               informed_since[other] = since;
-        for (std::size_t last = 0, first = 0; last < all.size(); ++last) {
-          Time to = all[last]->received_at;
+        for (std::size_t last = 0, first = 0; last < dest_calls.size(); ++last) {
+          Time to = dest_calls[last]->received_at;
           if (to < back || to > back + warm) continue;  // a warm destination takes its usual load
           auto from = std::max(back, to - fall);
-          while (all[first]->received_at < from) ++first;
+          while (dest_calls[first]->received_at < from) ++first;
           auto share_at = [&](Time at) { return start + (1 - start) * std::min(1.0, (at - back) / warm); };
-          auto most = multiple * rate_of_[dest] * fall / 1000 * (share_at(from) + share_at(to)) / 2;
-          double count = static_cast<double>(last - first + 1), by_knowing = 0;
-          for (std::size_t k = first; k <= last; ++k) by_knowing += informed_since.count(all[k]->relay);
-          if (count > most + 2 * std::sqrt(most) + 2 && by_knowing > count * 2 / 3) {
+          auto max_calls = multiple * rate_of_[dest] * fall / 1000 * (share_at(from) + share_at(to)) / 2;
+          double count = static_cast<double>(last - first + 1), from_informed = 0;
+          for (std::size_t k = first; k <= last; ++k)
+            from_informed += informed_since.count(dest_calls[k]->relay);
+          if (count > max_calls + 2 * std::sqrt(max_calls) + 2 && from_informed > count * 2 / 3) {
             report("pushed-over",
                    "destination " + dest + " returned cold and got " + ms(count) + " calls in " + ms(fall) +
-                       " ms, " + ms(by_knowing) +
-                       " of them from relays that knew of the outage; it could take " + ms(most),
+                       " ms, " + ms(from_informed) +
+                       " of them from relays that knew of the outage; it could take " + ms(max_calls),
                    {}, down, to, dest);
             break;
           }
@@ -627,21 +640,22 @@
     std::map<std::string, std::vector<const Document*>> by_key;
     for (const auto& [id, doc] : documents_)
       if (!doc.relay.empty() && types_[doc.type].ordered && doc.answer == "OK" && doc.key != "0")
-        by_key[doc.relay + " " + std::to_string(doc.life) + " " + doc.key + " " + doc.client].push_back(&doc);
+        by_key[doc.relay + " " + std::to_string(doc.incarnation) + " " + doc.key + " " + doc.client]
+            .push_back(&doc);
     for (auto& [key, docs] : by_key) {
       std::sort(docs.begin(), docs.end(),
                 [](const Document* a, const Document* b) { return a->sequence < b->sequence; });
       for (std::size_t i = 0; i < docs.size(); ++i)
         for (std::size_t j = i + 1; j < docs.size(); ++j) {
           const Document &before = *docs[i], &after = *docs[j];
-          Time over = never;
+          Time ended_at = never;
           for (const auto& call : before.calls)
-            if (call.status == 200 || call.status == 410) over = std::min(over, call.answered);
-          for (const auto& notice : before.notices) over = std::min(over, notice.at);
+            if (call.status == 200 || call.status == 410) ended_at = std::min(ended_at, call.answered_at);
+          for (const auto& notice : before.notices) ended_at = std::min(ended_at, notice.at);
           for (const auto& call : after.calls)
             // Allows for the delay between a document's end and its notice.
-            if (call.relay == before.relay && call.life == before.life &&
-                call.received_at + delivery_slack < over)
+            if (call.relay == before.relay && call.incarnation == before.incarnation &&
+                call.received_at + delivery_slack < ended_at)
               report("order",
                      after.id + " was sent before " + before.id +
                          ", accepted earlier with the same key, had ended",
@@ -660,35 +674,38 @@
     std::map<std::string, std::vector<ReceivedWait>> by_dest;
     for (const auto& [id, doc] : documents_)
       for (const auto& call : doc.calls)
-        if (call.wait > 0 && call.answered < never && answer_was_read(call))
-          by_dest[call.dest].push_back({&call, call.answered + call.wait});
+        if (call.wait > 0 && call.answered_at < never && answer_was_read(call))
+          by_dest[call.dest].push_back({&call, call.answered_at + call.wait});
     for (const auto& [id, doc] : documents_)
       for (const auto& call : doc.calls)
         for (const auto& wait : by_dest[call.dest]) {
           const Call& refused = *wait.call;
-          if (call.began >= wait.until - wait_slack || call.began <= refused.answered + delivery_slack)
+          if (call.started_at >= wait.until - wait_slack ||
+              call.started_at <= refused.answered_at + delivery_slack)
             continue;
-          bool same = call.relay == refused.relay;
-          if (same) {
-            bool again = call.life != refused.life;
-            if (again && (!share() || folder_was_lost(call.relay, refused.answered, call.began) ||
-                          disk_was_full(call.relay)))
+          bool same_relay = call.relay == refused.relay;
+          if (same_relay) {
+            bool after_restart = call.incarnation != refused.incarnation;
+            if (after_restart &&
+                (!sharing_enabled() || folder_was_lost(call.relay, refused.answered_at, call.started_at) ||
+                 disk_was_full(call.relay)))
               continue;
             // A relay killed right after the answer may not have stored the wait yet.
-            if (again &&
-                !relays_.at(call.relay).runs_throughout(refused.answered, refused.answered + known_within))
+            if (after_restart &&
+                !relays_.at(call.relay)
+                     .runs_throughout(refused.answered_at, refused.answered_at + propagation_time))
               continue;
             report("wait",
-                   call.relay + " called destination " + call.dest + " " + ms(wait.until - call.began) +
+                   call.relay + " called destination " + call.dest + " " + ms(wait.until - call.started_at) +
                        " ms before the end of its retry_after wait" +
-                       (again ? ", received before a restart" : ""),
-                   {refused.id, id}, refused.answered, call.received_at, call.dest);
-          } else if (surely_informed(refused.relay, call.relay, refused.answered, call.began)) {
+                       (after_restart ? ", received before a restart" : ""),
+                   {refused.id, id}, refused.answered_at, call.received_at, call.dest);
+          } else if (surely_informed(refused.relay, call.relay, refused.answered_at, call.started_at)) {
             report("shared-wait",
-                   call.relay + " called destination " + call.dest + " " + ms(wait.until - call.began) +
+                   call.relay + " called destination " + call.dest + " " + ms(wait.until - call.started_at) +
                        " ms before the end of a retry_after wait that " + refused.relay + " received " +
-                       ms(call.began - refused.answered) + " ms before",
-                   {refused.id, id}, refused.answered, call.received_at, call.dest);
+                       ms(call.started_at - refused.answered_at) + " ms before",
+                   {refused.id, id}, refused.answered_at, call.received_at, call.dest);
           }
         }
   }
@@ -698,24 +715,24 @@
     for (const auto& [id, doc] : documents_)
       for (const auto& refused : doc.calls) {
         if (refused.wait <= 0 || !answer_was_read(refused)) continue;
-        auto until = refused.answered + refused.wait;
+        auto until = refused.answered_at + refused.wait;
         for (const auto& conn : connections_) {
           auto relay = conn.field("r");
           if (conn.field("dest") != refused.dest || conn.at >= until - wait_slack ||
-              conn.at <= refused.answered + delivery_slack)
+              conn.at <= refused.answered_at + delivery_slack)
             continue;
-          bool informed_since = relay == refused.relay
-                                    ? relays_.at(relay).life(conn.at) == refused.life
-                                    : surely_informed(refused.relay, relay, refused.answered, conn.at);
-          if (informed_since)
+          bool informed = relay == refused.relay
+                              ? relays_.at(relay).incarnation(conn.at) == refused.incarnation
+                              : surely_informed(refused.relay, relay, refused.answered_at, conn.at);
+          if (informed)
             report("opened",
                    relay + " opened a connection to destination " + refused.dest + " " + ms(until - conn.at) +
                        " ms before the end of a retry_after wait that it knew of",
-                   {id}, refused.answered, conn.at, refused.dest);
+                   {id}, refused.answered_at, conn.at, refused.dest);
         }
       }
   }
-  bool disk_was_full(const std::string& relay) const { return !relays_.at(relay).disk_full.empty(); }
+  bool disk_was_full(const std::string& relay) const { return !relays_.at(relay).disk_full_at.empty(); }
 
   // An endpoint that operators took offline gets no calls from that relay or from those surely informed.
   void check_offline() {
@@ -726,11 +743,11 @@
         auto relay = orders[i].field("r");
         for (const auto& [id, doc] : documents_)
           for (const auto& call : doc.calls) {
-            if (call.endpoint != endpoint || call.began < orders[i].at + delivery_slack ||
-                call.began >= until)
+            if (call.endpoint != endpoint || call.started_at < orders[i].at + delivery_slack ||
+                call.started_at >= until)
               continue;
-            if (call.relay == relay ? folder_was_lost(relay, orders[i].at, call.began)
-                                    : !surely_informed(relay, call.relay, orders[i].at, call.began))
+            if (call.relay == relay ? folder_was_lost(relay, orders[i].at, call.started_at)
+                                    : !surely_informed(relay, call.relay, orders[i].at, call.started_at))
               continue;
             report("out", call.relay + " called " + endpoint + ", taken offline by operators at " + relay,
                    {id}, orders[i].at, call.received_at, endpoint);
@@ -740,27 +757,28 @@
 
   // No subscriber gets an older version of a key after a newer one.
   void check_versions() {
-    std::map<std::pair<std::string, std::string>, std::vector<const Call*>> had;  // by destination and key
+    std::map<std::pair<std::string, std::string>, std::vector<const Call*>>
+        delivered;  // by destination and key
     for (const auto& [call, doc] : deliveries_) {
-      had[{call->dest, call->key}].push_back(call);
+      delivered[{call->dest, call->key}].push_back(call);
       if (call->idempotency_key != doc->idempotency_key)
         report("mark",
                call->id + " was sent with the idempotency key '" + call->idempotency_key + "', not '" +
                    doc->idempotency_key + "'",
-               {call->id}, call->began, call->received_at);
+               {call->id}, call->started_at, call->received_at);
     }
-    for (auto& [place, calls] : had) {
+    for (auto& [dest_and_key, calls] : delivered) {
       std::sort(calls.begin(), calls.end(),
                 [](const Call* a, const Call* b) { return a->received_at < b->received_at; });
       const Call* newest = nullptr;
       for (const Call* call : calls) {
         if (newest && call->version < newest->version)
           report("backwards",
-                 "subscriber " + place.first + " had version " + std::to_string(newest->version) +
-                     " of key " + place.second + " and then got version " + std::to_string(call->version) +
-                     " from " + call->relay,
-                 {newest->id, call->id}, newest->received_at, call->received_at, place.first);
-        // The subscriber accepted it
+                 "subscriber " + dest_and_key.first + " had version " + std::to_string(newest->version) +
+                     " of key " + dest_and_key.second + " and then got version " +
+                     std::to_string(call->version) + " from " + call->relay,
+                 {newest->id, call->id}, newest->received_at, call->received_at, dest_and_key.first);
+        // Only a version that the subscriber accepted counts.
         if ((!newest || call->version > newest->version) && call->status == 200) newest = call;
       }
     }
@@ -768,10 +786,10 @@
   // If the trial reached its quiet end, each listed subscriber has the latest version of each key, also one
   // that joined late.
   void check_convergence() {
-    Time quiet = -1;
+    Time quiet_at = -1;
     for (const auto& line : lines_)
-      if (line.kind == "quiet") quiet = line.at;
-    if (quiet < 0) return;
+      if (line.kind == "quiet") quiet_at = line.at;
+    if (quiet_at < 0) return;
     std::map<std::pair<std::string, std::string>, const Document*> latest;  // by type and key
     for (const auto& [id, doc] : documents_)
       if (auto type = types_.find(doc.type);
@@ -779,23 +797,23 @@
         auto& newest = latest[{doc.type, doc.key}];
         if (!newest || newest->version < doc.version) newest = &doc;
       }
-    std::map<std::pair<std::string, std::string>, long> had;  // by destination and key
+    std::map<std::pair<std::string, std::string>, long> delivered;  // by destination and key
     for (const auto& [call, doc] : deliveries_)
       if (call->status == 200) {
-        auto& newest = had[{call->dest, doc->type + " " + doc->key}];
+        auto& newest = delivered[{call->dest, doc->type + " " + doc->key}];
         newest = std::max(newest, call->version);
       }
     for (const auto& line : lines_) {
       if (line.kind != "subscriber") continue;
       Time joined = line.at;
-      for (const auto& [place, doc] : latest) {
-        const auto& key = place.second;
+      for (const auto& [type_and_key, doc] : latest) {
+        const auto& key = type_and_key.second;
         // A subscriber that joined after a key's tombstone needs no delivery for it.
         if (!types_[doc->type].subscribers.count(line.field("dest")) ||
             (doc->tombstone && joined > doc->answered_at) || lost_member_count(0, end_) > 1)
           continue;
-        auto found = had.find({line.field("dest"), doc->type + " " + key});
-        if (found != had.end() && found->second >= doc->version) continue;
+        auto found = delivered.find({line.field("dest"), doc->type + " " + key});
+        if (found != delivered.end() && found->second >= doc->version) continue;
         bool late = joined > doc->answered_at;
         report(late ? "joiner" : "convergence",
                "subscriber " + line.field("dest") + (late ? ", which joined late," : "") +
--- a/src/trial/cold_returns.cpp
+++ b/src/trial/cold_returns.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 constexpr int destinations = 3;
-constexpr Millis rates_known_at = 9000;  // each relay knows its own rate by then
-constexpr Millis watched_after = 8000;   // after the last return
-constexpr Millis ends_timeout = 15000;
+constexpr Millis rates_known_at = 9000;    // each relay knows its own rate by then
+constexpr Millis observation_time = 8000;  // after the last return
+constexpr Millis final_answers_timeout = 15000;
 constexpr double documents_per_second = 9;  // to one destination, from all relays together
 const char* const outages[] = {"down", "silent", "500", "shut", "reset"};
 
@@ -26,7 +26,7 @@
     draw_load();
   }
   Schedule& schedule() { return schedule_; }
-  Millis end() const { return last_return_ + watched_after; }
+  Millis end() const { return last_return_ + observation_time; }
 
  private:
   double between(double low, double high) {
@@ -54,13 +54,13 @@
 
   // One, several or most of the relays are killed or suspended once, during the outage or the return.
   void draw_restarts() {
-    double share = between(0, 1) < 0.3 ? 0.03 : between(0.1, 0.8);
+    double restarted_share = between(0, 1) < 0.3 ? 0.03 : between(0.1, 0.8);
     Millis first = rates_known_at + 2000, last = last_return_ + 4000;
-    Millis together = between(first, last);
-    bool at_once = below(2) == 0;
+    Millis common_time = between(first, last);
+    bool all_at_once = below(2) == 0;
     for (const auto& relay : names_) {
-      if (between(0, 1) > share) continue;
-      Millis from = at_once ? together : between(first, last);
+      if (between(0, 1) > restarted_share) continue;
+      Millis from = all_at_once ? common_time : between(first, last);
       Millis to = from + between(300, 900);
       if (between(0, 1) < 0.2) {
         schedule_action(from, [=](Harness& harness) { harness.suspend(relay); });
@@ -123,7 +123,7 @@
     if (!harness.start(relay, {}))
       return relay + " does not start again; its log:\n" + harness.process_log(relay);
   }
-  harness.run_until(ends_timeout, [&] {
+  harness.run_until(final_answers_timeout, [&] {
     return harness.all_submissions_answered() && harness.documents_without_end().empty();
   });
   for (const auto& relay : harness.relay_names())
--- a/src/trial/event_loop.cpp
+++ b/src/trial/event_loop.cpp
@@ -155,7 +155,7 @@
   if (sock.fd >= 0 && !sock.paused && (events & (POLLIN | POLLHUP | POLLERR))) read(sock);
 }
 
-void EventLoop::run_once(Millis longest_wait) {
+void EventLoop::run_once(Millis max_wait) {
   std::vector<pollfd> polled;
   std::vector<std::uint64_t> ids;
   for (auto& [id, sock] : sockets_) {
@@ -164,7 +164,7 @@
     if (wanted == 0) continue;
     polled.push_back({sock->fd, wanted, 0}), ids.push_back(id);
   }
-  auto wait = timers_.empty() ? longest_wait : std::min(longest_wait, timers_.begin()->first - now_);
+  auto wait = timers_.empty() ? max_wait : std::min(max_wait, timers_.begin()->first - now_);
   poll(polled.data(), polled.size(), wait <= 0 ? 0 : static_cast<int>(wait) + 1);
   update_clock();
   for (std::size_t i = 0; i < ids.size(); ++i)
--- a/src/trial/event_loop.h
+++ b/src/trial/event_loop.h
@@ -49,7 +49,7 @@
   void send(Socket& sock, std::string_view bytes);
   void close(Socket& sock, bool reset = false);
   void schedule(Millis when, std::function<void()> callback);
-  void run_once(Millis longest_wait);
+  void run_once(Millis max_wait);
 
  private:
   Socket& add(int fd);
--- a/src/trial/harness.cpp
+++ b/src/trial/harness.cpp
@@ -25,7 +25,7 @@
 
 namespace fs = std::filesystem;
 
-constexpr Millis longest_poll = 10;
+constexpr Millis max_poll_time = 10;
 constexpr Millis start_timeout = 8000;  // allows for other tests running at the same time
 
 std::string option(const Options& options, const std::string& name, const std::string& fallback) {
@@ -55,7 +55,7 @@
 std::string command(const std::vector<std::string>& arguments) {
   std::ostringstream out;
   out << '*' << arguments.size() << "\r\n";
-  for (const auto& one : arguments) out << '$' << one.size() << "\r\n" << one << "\r\n";
+  for (const auto& argument : arguments) out << '$' << argument.size() << "\r\n" << argument << "\r\n";
   return out.str();
 }
 
@@ -106,9 +106,9 @@
   if (!mkdtemp(name)) throw std::runtime_error("cannot create a folder under /tmp");
   folder_ = name;
   const Json& rules = setup_.settings.at("rules");
-  auto ms = [](const Json& of, const char* field) {
+  auto ms = [](const Json& object, const char* field) {
     std::ostringstream out;
-    out << (of.contains(field) ? of.at(field).get<double>() / 1000 : 0.0);
+    out << (object.contains(field) ? object.at(field).get<double>() / 1000 : 0.0);
     return out.str();
   };
   auto share = [&](const char* field) { return rules.at(field).dump(); };
@@ -124,7 +124,7 @@
     std::string list;
     auto found = setup_.streams.find(type);
     if (found == setup_.streams.end() || !setup_.fleet || !setup_.latest) return list;
-    for (int one : found->second) list += (list.empty() ? "" : ",") + std::to_string(one);
+    for (int subscriber : found->second) list += (list.empty() ? "" : ",") + std::to_string(subscriber);
     return list;
   };
   for (const auto& type : setup_.settings.at("classes"))
@@ -140,11 +140,11 @@
     relay.name = name, relay.zone = i % 2 ? "h0" : "h1";
   }
   for (auto& [id, relay] : relays_) {
-    relay.clients = next_port(), relay.admin = next_port(), relay.agent = next_port(),
-    relay.members = next_port();
+    relay.client_port = next_port(), relay.admin_port = next_port(), relay.agent_port = next_port(),
+    relay.member_port = next_port();
     fs::create_directories(folder(id) + "/state");
     record("relay", {{"r", id}});
-    Socket* agent = event_loop_.listen({host_, relay.agent});
+    Socket* agent = event_loop_.listen({host_, relay.agent_port});
     agent->on_accepted = [this, id = id](Socket& sock) { accept_agent(id, sock); };
   }
   for (const auto& from : relay_names())
@@ -177,17 +177,19 @@
 // ---- processes
 
 void Harness::write_files(Relay& relay) {
-  Json config{{"name", relay.name},
-              {"listen", Address{host_, relay.clients}.text()},
-              {"discovery", Address{host_, relay.agent}.text()},
-              {"admin", Address{host_, relay.admin}.text()},
-              {"seed", std::to_string(setup_.seed * 100 + static_cast<unsigned long>(relay.clients % 97))},
-              {"limits", {{"sockets", 250}, {"disk_mb", setup_.disk_mb}}},
-              {"settings", setup_.settings}};
+  Json config{
+      {"name", relay.name},
+      {"listen", Address{host_, relay.client_port}.text()},
+      {"discovery", Address{host_, relay.agent_port}.text()},
+      {"admin", Address{host_, relay.admin_port}.text()},
+      {"seed", std::to_string(setup_.seed * 100 + static_cast<unsigned long>(relay.client_port % 97))},
+      {"limits", {{"sockets", 250}, {"disk_mb", setup_.disk_mb}}},
+      {"settings", setup_.settings}};
   config["settings"]["az"] = relay.zone == "h0" ? 0 : 1;
   config["settings"]["balancers"] = setup_.relays;
-  auto id =
-      std::find_if(relays_.begin(), relays_.end(), [&](auto& at) { return &at.second == &relay; })->first;
+  auto id = std::find_if(relays_.begin(), relays_.end(), [&](auto& entry) {
+              return &entry.second == &relay;
+            })->first;
   config["known"] = list_for(id);
   std::ofstream(folder(id) + "/config.json") << config.dump();
   std::ofstream toml(folder(id) + "/fleet.toml");
@@ -195,8 +197,8 @@
   for (const auto& [member, other] : relays_) {
     if (member[0] == 'x' || member.back() == 'b') continue;
     auto proxied = proxy_ports_.find({relay.name, member});
-    auto port = member == relay.name            ? relay.members
-                : proxied == proxy_ports_.end() ? other.members
+    auto port = member == relay.name            ? relay.member_port
+                : proxied == proxy_ports_.end() ? other.member_port
                                                 : proxied->second;
     toml << "[[member]]\nname = \"" << member << "\"\nhall = \"" << other.zone << "\"\nat = \""
          << Address{host_, port}.text() << "\"\n";
@@ -254,10 +256,10 @@
   Options variables{{"BALANCER_CONFIG", folder(relay_name) + "/config.json"},
                     {"BALANCER_STATE", folder(relay_name) + "/state"}};
   if (setup_.fleet) variables["BALANCER_FLEET"] = folder(relay_name) + "/fleet.toml";
-  ++relay.life;
-  variables.merge(draw_process_faults(setup_.fault_library, setup_.seed, relay_name, relay.life));
+  ++relay.incarnation;
+  variables.merge(draw_process_faults(setup_.fault_library, setup_.seed, relay_name, relay.incarnation));
   relay.suspended = relay.asked_to_stop = false;
-  record("start", {{"r", relay_name}, {"life", std::to_string(relay.life)}});
+  record("start", {{"r", relay_name}, {"life", std::to_string(relay.incarnation)}});
   relay.pid =
       spawn(folder(relay_name), variables, static_cast<std::uint64_t>(number(options, "file_bytes", 0)));
   for (auto& [name, endpoint] : endpoints_)
@@ -265,18 +267,18 @@
 }
 
 bool Harness::answers_ping(const std::string& relay_name) {
-  auto heard = std::make_shared<std::string>();
-  auto over = std::make_shared<bool>(false);
-  Socket* sock = event_loop_.connect({host_, relays_.at(relay_name).clients});
+  auto reply = std::make_shared<std::string>();
+  auto closed = std::make_shared<bool>(false);
+  Socket* sock = event_loop_.connect({host_, relays_.at(relay_name).client_port});
   auto socket_id = sock->id;
-  sock->on_closed = [over] { *over = true; };
-  sock->on_data = [this, heard, socket_id] {
-    if (Socket* here = event_loop_.find(socket_id)) *heard += here->in, here->in.clear();
+  sock->on_closed = [closed] { *closed = true; };
+  sock->on_data = [this, reply, socket_id] {
+    if (Socket* open_socket = event_loop_.find(socket_id)) *reply += open_socket->in, open_socket->in.clear();
   };
   event_loop_.send(*sock, "*1\r\n$4\r\nPING\r\n");
-  run_until(500, [&] { return *over || !heard->empty(); });
-  if (Socket* here = event_loop_.find(socket_id)) event_loop_.close(*here);
-  return *heard == "+PONG\r\n";
+  run_until(500, [&] { return *closed || !reply->empty(); });
+  if (Socket* open_socket = event_loop_.find(socket_id)) event_loop_.close(*open_socket);
+  return *reply == "+PONG\r\n";
 }
 
 bool Harness::start(const std::string& relay_name, const Options& options) {
@@ -401,9 +403,9 @@
   if (!relays_.count(other)) {
     Relay& relay = relays_[other];
     relay.name = relay_name, relay.zone = relays_.at(relay_name).zone;
-    relay.clients = next_port(), relay.admin = next_port(), relay.agent = next_port();
-    relay.members = next_port();
-    Socket* agent = event_loop_.listen({host_, relay.agent});
+    relay.client_port = next_port(), relay.admin_port = next_port(), relay.agent_port = next_port();
+    relay.member_port = next_port();
+    Socket* agent = event_loop_.listen({host_, relay.agent_port});
     agent->on_accepted = [this, other](Socket& sock) { accept_agent(other, sock); };
     record("relay", {{"r", other}, {"twin", relay_name}});
     for (auto& [name, endpoint] : endpoints_)
@@ -421,9 +423,9 @@
   if (!relays_.count("x1")) {
     Relay& relay = relays_["x1"];
     relay.name = "n1", relay.zone = "h0";
-    relay.clients = next_port(), relay.admin = next_port(), relay.agent = next_port();
-    relay.members = next_port();
-    Socket* agent = event_loop_.listen({host_, relay.agent});
+    relay.client_port = next_port(), relay.admin_port = next_port(), relay.agent_port = next_port();
+    relay.member_port = next_port();
+    Socket* agent = event_loop_.listen({host_, relay.agent_port});
     agent->on_accepted = [this](Socket& sock) { accept_agent("x1", sock); };
     record("relay", {{"r", "x1"}, {"twin", "n1"}});
     fs::create_directories(folder("x1") + "/state");
@@ -456,8 +458,9 @@
 }
 
 void Harness::send_list(Relay& relay, std::uint64_t socket_id) {
-  auto id =
-      std::find_if(relays_.begin(), relays_.end(), [&](auto& at) { return &at.second == &relay; })->first;
+  auto id = std::find_if(relays_.begin(), relays_.end(), [&](auto& entry) {
+              return &entry.second == &relay;
+            })->first;
   polling_agents_[id].erase(socket_id);
   Socket* sock = event_loop_.find(socket_id);
   if (!sock) return;
@@ -524,9 +527,9 @@
 }
 
 void Harness::set_endpoint(const std::string& name, const Options& how) {
-  bool fresh = !endpoints_.count(name);
+  bool is_new = !endpoints_.count(name);
   Endpoint& endpoint = endpoints_[name];
-  if (fresh) {
+  if (is_new) {
     endpoint.name = name, endpoint.zone = option(how, "hall", "h0");
     endpoint.dest = static_cast<int>(number(how, "for", 1)), endpoint.rate = number(how, "rate", 200);
     endpoint.kind = option(how, "kind", "m0") == "m1";
@@ -543,14 +546,14 @@
                  behaviour == "shut";
   if (behaviour == "down") {
     close_endpoint(endpoint);
-    if (fresh) open_endpoint(endpoint), close_endpoint(endpoint);  // reserves its ports
+    if (is_new) open_endpoint(endpoint), close_endpoint(endpoint);  // reserves its ports
   } else {
     open_endpoint(endpoint);
   }
   if (failing != endpoint.failing) record(failing ? "fails" : "works", {{"e", name}, {"how", behaviour}});
-  else if (!fresh) record("manner", {{"e", name}, {"how", behaviour}});
+  else if (!is_new) record("manner", {{"e", name}, {"how", behaviour}});
   endpoint.failing = failing;
-  if (fresh) set_listed_state(name, option(how, "state", "Ready"));
+  if (is_new) set_listed_state(name, option(how, "state", "Ready"));
 }
 
 void Harness::set_listed_state(const std::string& name, const std::string& state) {
@@ -565,15 +568,15 @@
                                std::uint64_t socket_id) {
   std::string head, body;
   while (Socket* sock = event_loop_.find(socket_id)) {
-    auto began = sock->first_byte_at;
+    auto started_at = sock->first_byte_at;
     if (!take_request(sock->in, head, body)) return;
     sock->first_byte_at = event_loop_.now();
-    handle_call(endpoints_.at(name), relay_name, *sock, head, body, began);
+    handle_call(endpoints_.at(name), relay_name, *sock, head, body, started_at);
   }
 }
 
 void Harness::handle_call(Endpoint& endpoint, const std::string& relay_name, Socket& sock,
-                          const std::string& head, const std::string& body, Millis began) {
+                          const std::string& head, const std::string& body, Millis started_at) {
   struct CalledDocument {
     std::string id, idempotency_key, body;
   };
@@ -587,7 +590,7 @@
     items.push_back({header(head, "Request-Id"), header(head, "Idempotency-Key"), body});
   }
   char time[32];
-  std::snprintf(time, sizeof time, "%.3f", began);
+  std::snprintf(time, sizeof time, "%.3f", started_at);
   for (const auto& item : items)
     record("call", {{"e", endpoint.name},
                     {"dest", std::to_string(endpoint.dest)},
@@ -623,9 +626,9 @@
   auto name = endpoint.name;
   auto wait = how.count("wait") ? std::stod(how["wait"]) * 1000 : 0;
   event_loop_.schedule(now() + number(how, "after", 0), [=, this] {
-    Socket* here = event_loop_.find(socket_id);
+    Socket* open_socket = event_loop_.find(socket_id);
     for (const auto& item : items) {
-      if (!here) {
+      if (!open_socket) {
         record("broke", {{"e", name}, {"r", relay_name}, {"id", item.id}});  // the caller has disconnected
         continue;
       }
@@ -639,7 +642,7 @@
           found != documents_.end() && (behaviour == "200" || behaviour == "410"))
         found->second.ended = true;
     }
-    if (here) event_loop_.send(*here, answer);
+    if (open_socket) event_loop_.send(*open_socket, answer);
   });
 }
 
@@ -647,18 +650,18 @@
 
 void Harness::open_proxy(const std::string& from, const std::string& to) {
   int port = proxy_ports_[{from, to}] = next_port();
-  event_loop_.listen({host_, port})->on_accepted = [this, from, to](Socket& near) {
-    Socket* far = event_loop_.connect({host_, relays_.at(to).members});
-    auto near_id = near.id, far_id = far->id;
-    near.on_data = [=, this] { forward({from, to}, false, near_id, far_id); };
-    far->on_data = [=, this] { forward({from, to}, true, far_id, near_id); };
-    auto end = [this](std::uint64_t other) {
+  event_loop_.listen({host_, port})->on_accepted = [this, from, to](Socket& inbound) {
+    Socket* outbound = event_loop_.connect({host_, relays_.at(to).member_port});
+    auto inbound_id = inbound.id, outbound_id = outbound->id;
+    inbound.on_data = [=, this] { forward({from, to}, false, inbound_id, outbound_id); };
+    outbound->on_data = [=, this] { forward({from, to}, true, outbound_id, inbound_id); };
+    auto close_other = [this](std::uint64_t other) {
       if (Socket* sock = event_loop_.find(other)) event_loop_.close(*sock);
     };
-    near.on_closed = [=] { end(far_id); };
-    far->on_closed = [=] { end(near_id); };
-    proxied_[{from, to}].push_back({{from, to}, false, near_id, far_id});
-    proxied_[{to, from}].push_back({{from, to}, true, far_id, near_id});
+    inbound.on_closed = [=] { close_other(outbound_id); };
+    outbound->on_closed = [=] { close_other(inbound_id); };
+    proxied_[{from, to}].push_back({{from, to}, false, inbound_id, outbound_id});
+    proxied_[{to, from}].push_back({{from, to}, true, outbound_id, inbound_id});
   };
 }
 
@@ -684,7 +687,7 @@
   if (setting == link_states_.end() || setting->second.state != LinkState::slow)
     return event_loop_.send(*out, bytes);
   event_loop_.schedule(now() + setting->second.delay, [this, out_id, bytes] {
-    if (Socket* there = event_loop_.find(out_id)) event_loop_.send(*there, bytes);
+    if (Socket* target = event_loop_.find(out_id)) event_loop_.send(*target, bytes);
   });
 }
 
@@ -698,22 +701,22 @@
   if (state == LinkState::open) link_states_.erase(direction);
   else link_states_[direction] = {state, delay};
   auto directions = proxied_[direction];
-  for (const auto& side : directions)
-    if (Socket* in = event_loop_.find(side.in)) {
+  for (const auto& proxied : directions)
+    if (Socket* in = event_loop_.find(proxied.in)) {
       in->paused = state == LinkState::cut;
-      if (state != LinkState::cut) forward(side.dialled, side.back, side.in, side.out);
+      if (state != LinkState::cut) forward(proxied.dialled, proxied.back, proxied.in, proxied.out);
     }
 }
 
 void Harness::heal_links() {
-  for (const auto& [direction, way] : std::map<Pair, LinkSetting>(link_states_))
+  for (const auto& [direction, setting] : std::map<Pair, LinkSetting>(link_states_))
     this->set_link(direction.first, direction.second, LinkState::open);
 }
 
 void Harness::reset_connections(const std::string& from, const std::string& to) {
   record("reset", {{"i", from}, {"j", to}});
-  for (const auto& side : std::exchange(proxied_[{from, to}], {}))
-    for (auto id : {side.in, side.out})
+  for (const auto& proxied : std::exchange(proxied_[{from, to}], {}))
+    for (auto id : {proxied.in, proxied.out})
       if (Socket* sock = event_loop_.find(id)) event_loop_.close(*sock, true);
 }
 void Harness::truncate_next(const std::string& from, const std::string& to) {
@@ -733,9 +736,9 @@
   else if (what == "large") bytes = std::string(8, '\xff') + std::string(1 << 20, 'x');
   else bytes = std::string(3, '\0');  // half of a length prefix and then nothing
   for (int i = 0; i < (what == "half" ? 40 : 3); ++i) {
-    Socket* sock = event_loop_.connect({host_, relays_.at(to).members});
+    Socket* sock = event_loop_.connect({host_, relays_.at(to).member_port});
     sock->on_connected = [this, id = sock->id, bytes] {
-      if (Socket* here = event_loop_.find(id)) event_loop_.send(*here, bytes);
+      if (Socket* open_socket = event_loop_.find(id)) event_loop_.send(*open_socket, bytes);
     };
   }
 }
@@ -749,9 +752,9 @@
   for (auto end = sock->in.find("\r\n"); end != std::string::npos; end = sock->in.find("\r\n")) {
     auto line = sock->in.substr(0, end);
     sock->in.erase(0, end + 2);
-    if (client.asked.empty()) continue;
-    auto id = client.asked.front();
-    client.asked.pop_front();
+    if (client.unanswered_ids.empty()) continue;
+    auto id = client.unanswered_ids.front();
+    client.unanswered_ids.pop_front();
     auto what = line == "+OK" ? "OK" : line.rfind("-BUSY", 0) == 0 ? "BUSY" : "ERR";
     record("said", {{"r", relay_name}, {"id", id}, {"what", what}});
     Document& doc = documents_[id];
@@ -762,38 +765,38 @@
 void Harness::submit(const std::string& relay_name, const std::string& id, const Options& options) {
   auto name = option(options, "c", "c");
   auto type = option(options, "type", "plain"), key = option(options, "key", "0"),
-       v = option(options, "v", "0");
-  auto left = option(options, "left", "8000"), dest = option(options, "for", "1");
+       version = option(options, "v", "0");
+  auto time_to_expiry = option(options, "left", "8000"), dest = option(options, "for", "1");
   auto idempotency_key = option(options, "mark", type == "numbered" ? "m-" + id : "");
   auto body = options.count("empty")
                   ? std::string()
-                  : "key=" + key + " v=" + v + " " +
+                  : "key=" + key + " v=" + version + " " +
                         std::string(static_cast<std::size_t>(number(options, "fill", 0)), 'x');
   auto order_key = std::string(key.size() < 16 ? 16 - key.size() : 0, '0') + key;
-  auto list =
-      "c=" + type + ",d=" + left + ",dest=" + dest + (idempotency_key.empty() ? "" : ",k=" + idempotency_key);
+  auto list = "c=" + type + ",d=" + time_to_expiry + ",dest=" + dest +
+              (idempotency_key.empty() ? "" : ",k=" + idempotency_key);
   Client& client = clients_[relay_name][name];
   Socket* sock = event_loop_.find(client.socket_id);
   if (!sock) {
-    sock = event_loop_.connect({host_, relays_.at(relay_name).clients});
+    sock = event_loop_.connect({host_, relays_.at(relay_name).client_port});
     client.socket_id = sock->id;
     sock->on_data = [this, relay_name, name] { handle_client_data(relay_name, name); };
     sock->on_closed = [this, relay_name, name] {
-      for (const auto& asked : std::exchange(clients_[relay_name][name].asked, {})) {
-        record("unsaid", {{"r", relay_name}, {"id", asked}});
-        documents_[asked].awaiting_answer = false;
+      for (const auto& unanswered_id : std::exchange(clients_[relay_name][name].unanswered_ids, {})) {
+        record("unsaid", {{"r", relay_name}, {"id", unanswered_id}});
+        documents_[unanswered_id].awaiting_answer = false;
       }
     };
   }
   documents_[id] = {relay_name};
-  client.asked.push_back(id);
+  client.unanswered_ids.push_back(id);
   record("hand", {{"r", relay_name},
                   {"id", id},
                   {"type", type},
                   {"dest", dest},
                   {"key", key},
-                  {"v", v},
-                  {"left", left},
+                  {"v", version},
+                  {"left", time_to_expiry},
                   {"mark", idempotency_key},
                   {"c", name},
                   {"empty", options.count("empty") ? "1" : "0"}});
@@ -810,13 +813,13 @@
 }
 
 void Harness::set_offline(const std::string& relay_name, const std::string& endpoint, bool offline) {
-  Socket* sock = event_loop_.connect({host_, relays_.at(relay_name).admin});
+  Socket* sock = event_loop_.connect({host_, relays_.at(relay_name).admin_port});
   auto id = sock->id;
   sock->on_data = [this, id, relay_name, endpoint, offline] {
-    Socket* here = event_loop_.find(id);
-    if (here && here->in.rfind("done", 0) == 0)
+    Socket* open_socket = event_loop_.find(id);
+    if (open_socket && open_socket->in.rfind("done", 0) == 0)
       record(offline ? "out" : "in", {{"r", relay_name}, {"e", endpoint}});
-    if (here) here->in.clear();
+    if (open_socket) open_socket->in.clear();
   };
   event_loop_.send(*sock, (offline ? "OFFLINE " : "ONLINE ") + endpoint + "\n");
 }
@@ -827,7 +830,7 @@
   auto end = now() + within;
   while (!holds()) {
     if (now() >= end) return false;
-    event_loop_.run_once(std::min(longest_poll, std::max(0.0, end - now())));
+    event_loop_.run_once(std::min(max_poll_time, std::max(0.0, end - now())));
     reap();
   }
   return true;
@@ -852,43 +855,46 @@
     bool tombstone = false;
     Millis accepted_at = 0;
   };
-  std::map<std::string, const LogEntry*> handed;
+  std::map<std::string, const LogEntry*> submitted;
   std::map<std::pair<std::string, std::string>, Newest> newest;  // by type and key
-  std::map<std::pair<std::string, std::string>, int> had;        // by destination, and type and key
+  std::map<std::pair<std::string, std::string>, int> delivered;  // by destination, and type and key
   std::vector<std::pair<std::string, Millis>> subscribers;
   auto number = [](const std::string& text) { return text.empty() ? 0 : std::stoi(text); };
   for (const auto& entry : log_) {
     auto id = entry.field("id");
     if (entry.kind == "subscriber") subscribers.emplace_back(entry.field("dest"), entry.at);
-    if (entry.kind == "hand" && setup_.streams.count(entry.field("type"))) handed[id] = &entry;
-    if (entry.kind == "said" && entry.field("what") == "OK" && handed.count(id)) {
-      auto& here = newest[{handed[id]->field("type"), handed[id]->field("key")}];
-      auto version = number(handed[id]->field("v"));
-      if (version > here.version) here = {version, handed[id]->field("empty") == "1", entry.at};
+    if (entry.kind == "hand" && setup_.streams.count(entry.field("type"))) submitted[id] = &entry;
+    if (entry.kind == "said" && entry.field("what") == "OK" && submitted.count(id)) {
+      auto& latest_accepted = newest[{submitted[id]->field("type"), submitted[id]->field("key")}];
+      auto version = number(submitted[id]->field("v"));
+      if (version > latest_accepted.version)
+        latest_accepted = {version, submitted[id]->field("empty") == "1", entry.at};
     }
     if (entry.kind == "answer" && entry.field("status") == "200") {
-      auto of = handed.find(handed.count(id) ? id : id.substr(0, id.rfind('.')));
-      if (of == handed.end()) continue;
-      auto& here = had[{entry.field("dest"), of->second->field("type") + " " + of->second->field("key")}];
-      here = std::max(here, number(of->second->field("v")));
+      auto submission = submitted.find(submitted.count(id) ? id : id.substr(0, id.rfind('.')));
+      if (submission == submitted.end()) continue;
+      auto& delivered_version = delivered[{
+          entry.field("dest"), submission->second->field("type") + " " + submission->second->field("key")}];
+      delivered_version = std::max(delivered_version, number(submission->second->field("v")));
     }
   }
   for (const auto& [dest, joined] : subscribers)
-    for (const auto& [key, here] : newest) {
-      const auto& own = setup_.streams.at(key.first);
-      if (std::find(own.begin(), own.end(), std::stoi(dest)) == own.end() ||
-          (here.tombstone && joined > here.accepted_at))
+    for (const auto& [key, expected] : newest) {
+      const auto& stream_subscribers = setup_.streams.at(key.first);
+      if (std::find(stream_subscribers.begin(), stream_subscribers.end(), std::stoi(dest)) ==
+              stream_subscribers.end() ||
+          (expected.tombstone && joined > expected.accepted_at))
         continue;
-      auto found = had.find({dest, key.first + " " + key.second});
-      if (found == had.end() || found->second < here.version) return false;
+      auto found = delivered.find({dest, key.first + " " + key.second});
+      if (found == delivered.end() || found->second < expected.version) return false;
     }
   return true;
 }
 
 bool Harness::all_submissions_answered() const {
-  return std::none_of(documents_.begin(), documents_.end(), [&](const auto& at) {
-    return at.second.awaiting_answer && relays_.at(at.second.relay).pid > 0 &&
-           !relays_.at(at.second.relay).suspended;
+  return std::none_of(documents_.begin(), documents_.end(), [&](const auto& entry) {
+    return entry.second.awaiting_answer && relays_.at(entry.second.relay).pid > 0 &&
+           !relays_.at(entry.second.relay).suspended;
   });
 }
 
--- a/src/trial/harness.h
+++ b/src/trial/harness.h
@@ -82,7 +82,7 @@
 
   void set_link(const std::string& from, const std::string& to, LinkState state, Millis delay = 0);
   void reset_connections(const std::string& from, const std::string& to);
-  // Cuts the next chunk in the middle of a frame
+  // Cuts the next chunk in the middle of a frame.
   void truncate_next(const std::string& from, const std::string& to);
   void corrupt_next(const std::string& from, const std::string& to);  // inverts bytes of the next chunk
   void flood(const std::string& to, const std::string& what);  // junk, large or half, from an unknown sender
@@ -100,14 +100,14 @@
   bool run_until(Millis within, const std::function<bool()>& holds);
   std::size_t count_entries(const std::string& kind, const Options& wanted, std::size_t from = 0) const;
   std::vector<std::string> documents_without_end() const;  // accepted documents without a final answer
-  // Whether each subscriber has the latest of each key
+  // Whether each subscriber has the latest version of each key.
   bool subscribers_converged() const;
   bool all_submissions_answered() const;  // whether each client has its answers
   bool process_has_logged(const std::string& relay_name, const std::string& text) const;  // in its own output
   std::string process_log(const std::string& relay_name) const;
   // For a load generator outside the harness and for measuring a process's CPU time.
   Address client_address(const std::string& relay_name) const {
-    return {host_, relays_.at(relay_name).clients};
+    return {host_, relays_.at(relay_name).client_port};
   }
   pid_t pid_of(const std::string& relay_name) const { return relays_.at(relay_name).pid; }
   void record(const std::string& kind, std::vector<std::pair<std::string, std::string>> fields);
@@ -129,14 +129,14 @@
   struct Relay {
     std::string name, zone;
     pid_t pid = -1;
-    int life = 0, clients = 0, admin = 0, agent = 0, members = 0;
+    int incarnation = 0, client_port = 0, admin_port = 0, agent_port = 0, member_port = 0;
     bool suspended = false, asked_to_stop = false;
     std::map<int, std::uint64_t> watches;  // version polled from, by socket (negative: none)
     std::uint64_t file_bytes = 0;
   };
   struct Client {
     std::uint64_t socket_id = 0;
-    std::deque<std::string> asked;
+    std::deque<std::string> unanswered_ids;  // in the order of submission
   };
   struct Document {
     std::string relay;
@@ -166,7 +166,7 @@
   void close_endpoint(Endpoint& endpoint);
   void handle_call_data(const std::string& name, const std::string& relay_name, std::uint64_t socket_id);
   void handle_call(Endpoint& endpoint, const std::string& relay_name, Socket& sock, const std::string& head,
-                   const std::string& body, Millis began);
+                   const std::string& body, Millis started_at);
   void open_proxy(const std::string& from, const std::string& to);
   void forward(const Pair& dialled, bool back, std::uint64_t in_id, std::uint64_t out_id);
   void handle_client_data(const std::string& relay_name, const std::string& client_name);
--- a/src/trial/injected_violations.cpp
+++ b/src/trial/injected_violations.cpp
@@ -13,7 +13,7 @@
 
 double number(const LogEntry& entry, const std::string& name) { return std::atof(entry.field(name).c_str()); }
 
-std::optional<LogEntry> first(
+std::optional<LogEntry> find_first(
     const Log& log, const std::string& kind, const std::map<std::string, std::string>& wanted,
     const std::function<bool(const LogEntry&)>& predicate = [](const LogEntry&) { return true; }) {
   for (const auto& entry : log)
@@ -31,19 +31,19 @@
 
 // Inserts a call of a separate document, so that no other check fails because of it.
 void insert_stray_call(Log& log, LogEntry call, double at, const std::string& id = "stray") {
-  LogEntry hand{0,
-                "hand",
-                {{"r", call.field("r")},
-                 {"id", id},
-                 {"type", "plain"},
-                 {"dest", call.field("dest")},
-                 {"key", "0"},
-                 {"v", "0"},
-                 {"left", "100000"},
-                 {"mark", call.field("mark")},
-                 {"c", "c"},
-                 {"empty", "0"}}};
-  insert(log, hand, at - 1), insert(log, {0, "unsaid", {{"r", call.field("r")}, {"id", id}}}, at - 1);
+  LogEntry submission{0,
+                      "hand",
+                      {{"r", call.field("r")},
+                       {"id", id},
+                       {"type", "plain"},
+                       {"dest", call.field("dest")},
+                       {"key", "0"},
+                       {"v", "0"},
+                       {"left", "100000"},
+                       {"mark", call.field("mark")},
+                       {"c", "c"},
+                       {"empty", "0"}}};
+  insert(log, submission, at - 1), insert(log, {0, "unsaid", {{"r", call.field("r")}, {"id", id}}}, at - 1);
   call.set("id", id);
   insert(log, std::move(call), at);
 }
@@ -54,12 +54,12 @@
 };
 std::optional<AnsweredCall> find_answered(const Log& log, const std::string& type,
                                           const std::string& status = "200") {
-  for (const auto& hand : log) {
-    if (hand.kind != "hand" || (!type.empty() && hand.field("type") != type)) continue;
-    auto id = hand.field("id");
-    auto client_answer = first(log, "said", {{"id", id}, {"what", "OK"}});
-    auto call = first(log, "call", {{"id", id}});
-    auto answer = first(log, "answer", {{"id", id}, {"status", status}});
+  for (const auto& submission : log) {
+    if (submission.kind != "hand" || (!type.empty() && submission.field("type") != type)) continue;
+    auto id = submission.field("id");
+    auto client_answer = find_first(log, "said", {{"id", id}, {"what", "OK"}});
+    auto call = find_first(log, "call", {{"id", id}});
+    auto answer = find_first(log, "answer", {{"id", id}, {"status", status}});
     if (client_answer && call && answer) return AnsweredCall{*call, *answer};
   }
   return {};
@@ -74,11 +74,12 @@
   return true;
 }
 
-bool insert_call_in_wait(Log& log, bool same) {
-  auto refusal = first(log, "answer", {}, [](const LogEntry& e) { return number(e, "wait") > 0; });
+bool insert_call_in_wait(Log& log, bool same_relay) {
+  auto refusal = find_first(log, "answer", {}, [](const LogEntry& e) { return number(e, "wait") > 0; });
   if (!refusal) return false;
-  auto call = first(log, "call", {{"dest", refusal->field("dest")}}, [&](const LogEntry& e) {
-    return (e.field("r") == refusal->field("r")) == same && e.at > refusal->at + number(*refusal, "wait");
+  auto call = find_first(log, "call", {{"dest", refusal->field("dest")}}, [&](const LogEntry& e) {
+    return (e.field("r") == refusal->field("r")) == same_relay &&
+           e.at > refusal->at + number(*refusal, "wait");
   });
   if (!call) return false;
   // Late in the wait, so that the information has had time to spread.
@@ -86,7 +87,7 @@
   return true;
 }
 
-void forget_calls(Log& log, const std::string& id) {
+void erase_calls(Log& log, const std::string& id) {
   std::erase_if(log, [&](const LogEntry& e) {
     return (e.kind == "call" || e.kind == "answer") && e.field("id") == id;
   });
@@ -96,14 +97,15 @@
   static const std::map<std::string, Injector> all{
       {"crash",
        [](Log& log) {
-         auto up = first(log, "up", {});
-         if (!up) return false;
-         insert(log, {0, "exit", {{"r", up->field("r")}, {"asked", "0"}, {"code", "-11"}}}, log.back().at);
+         auto started = find_first(log, "up", {});
+         if (!started) return false;
+         insert(log, {0, "exit", {{"r", started->field("r")}, {"asked", "0"}, {"code", "-11"}}},
+                log.back().at);
          return true;
        }},
       {"unanswered",
        [](Log& log) {
-         auto client_answer = first(log, "said", {{"what", "OK"}});
+         auto client_answer = find_first(log, "said", {{"what", "OK"}});
          if (!client_answer) return false;
          log.erase(std::find_if(log.begin(), log.end(), [&](auto& e) {
            return e.matches("said", {{"id", client_answer->field("id")}});
@@ -114,14 +116,14 @@
        [](Log& log) {
          auto found = find_answered(log, "plain");
          if (!found) return false;
-         forget_calls(log, found->call.field("id"));
+         erase_calls(log, found->call.field("id"));
          return true;
        }},
       {"late",
        [](Log& log) {
          auto found = find_answered(log, "plain");
          if (!found) return false;
-         forget_calls(log, found->call.field("id"));
+         erase_calls(log, found->call.field("id"));
          auto at = log.back().at - 20;
          insert(log, found->call, at), insert(log, found->answer, at + 10);
          return true;
@@ -141,7 +143,7 @@
       {"effect-twice", [](Log& log) { return insert_later_call(log, "binding", 20); }},
       {"window",
        [](Log& log) {
-         auto type = first(log, "type", {{"name", "numbered"}});
+         auto type = find_first(log, "type", {{"name", "numbered"}});
          auto found = find_answered(log, "numbered");
          if (!type || !found) return false;
          // The first call may have run, so sending it again outside the window is a violation.
@@ -160,7 +162,7 @@
        }},
       {"unknown",
        [](Log& log) {
-         auto call = first(log, "call", {});
+         auto call = find_first(log, "call", {});
          if (!call) return false;
          call->set("id", "nobody's");
          insert(log, *call, call->at + 5);
@@ -168,25 +170,26 @@
        }},
       {"drain",
        [](Log& log) {
-         auto gone = first(log, "list", {}, [](const LogEntry& e) { return e.field("state") != "Ready"; });
-         auto set = first(log, "set", {});
-         if (!gone || !set) return false;
-         auto call = first(log, "call", {{"e", gone->field("e")}});
+         auto leaving =
+             find_first(log, "list", {}, [](const LogEntry& e) { return e.field("state") != "Ready"; });
+         auto settings = find_first(log, "set", {});
+         if (!leaving || !settings) return false;
+         auto call = find_first(log, "call", {{"e", leaving->field("e")}});
          if (!call) return false;
-         insert_stray_call(log, *call, gone->at + number(*set, "grace") + 600);
+         insert_stray_call(log, *call, leaving->at + number(*settings, "grace") + 600);
          return true;
        }},
       {"pushed-over",
        [](Log& log) {
-         for (const auto& works : log) {
-           if (works.kind != "works") continue;
-           auto call = first(log, "call", {{"e", works.field("e")}},
-                             [&](const LogEntry& e) { return e.at > works.at; });
-           auto failed = first(log, "broke", {{"e", works.field("e")}},
-                               [&](const LogEntry& e) { return e.at < works.at; });
+         for (const auto& recovery : log) {
+           if (recovery.kind != "works") continue;
+           auto call = find_first(log, "call", {{"e", recovery.field("e")}},
+                                  [&](const LogEntry& e) { return e.at > recovery.at; });
+           auto failed = find_first(log, "broke", {{"e", recovery.field("e")}},
+                                    [&](const LogEntry& e) { return e.at < recovery.at; });
            if (!call || !failed) continue;
            call->set("r", failed->field("r"));
-           auto from = works.at + 200;
+           auto from = recovery.at + 200;
            for (int i = 0; i < 600; ++i) insert_stray_call(log, *call, from + i, "stray" + std::to_string(i));
            return true;
          }
@@ -194,54 +197,56 @@
        }},
       {"order",
        [](Log& log) {
-         std::map<std::string, LogEntry> taken;  // by key and relay
-         for (const auto& hand : log) {
-           if (hand.kind != "hand" || hand.field("type") != "ordered") continue;
-           auto key = hand.field("r") + hand.field("key") + hand.field("c");
-           auto before = taken.find(key);
-           if (before != taken.end()) {
-             auto answer = first(log, "answer", {{"id", before->second.field("id")}});
-             auto call = first(log, "call", {{"id", hand.field("id")}});
+         std::map<std::string, LogEntry> submitted;  // by key and relay
+         for (const auto& submission : log) {
+           if (submission.kind != "hand" || submission.field("type") != "ordered") continue;
+           auto key = submission.field("r") + submission.field("key") + submission.field("c");
+           auto before = submitted.find(key);
+           if (before != submitted.end()) {
+             auto answer = find_first(log, "answer", {{"id", before->second.field("id")}});
+             auto call = find_first(log, "call", {{"id", submission.field("id")}});
              if (answer && call) return insert(log, *call, answer->at - 200), true;
            }
-           taken.emplace(key, hand);
+           submitted.emplace(key, submission);
          }
          return false;
        }},
       {"wait", [](Log& log) { return insert_call_in_wait(log, true); }},
       {"opened",
        [](Log& log) {
-         auto refusal = first(log, "answer", {}, [](const LogEntry& e) { return number(e, "wait") > 0; });
-         auto conn = refusal
-                         ? first(log, "conn", {{"dest", refusal->field("dest")}, {"r", refusal->field("r")}})
-                         : std::optional<LogEntry>{};
-         if (!conn) return false;
-         insert(log, *conn, refusal->at + number(*refusal, "wait") - 300);
+         auto refusal =
+             find_first(log, "answer", {}, [](const LogEntry& e) { return number(e, "wait") > 0; });
+         auto connection =
+             refusal ? find_first(log, "conn", {{"dest", refusal->field("dest")}, {"r", refusal->field("r")}})
+                     : std::optional<LogEntry>{};
+         if (!connection) return false;
+         insert(log, *connection, refusal->at + number(*refusal, "wait") - 300);
          return true;
        }},
       {"shared-wait", [](Log& log) { return insert_call_in_wait(log, false); }},
       {"out",
        [](Log& log) {
-         auto out = first(log, "out", {});
-         if (!out) return false;
-         auto call = first(log, "call", {{"e", out->field("e")}},
-                           [&](const LogEntry& e) { return e.field("r") != out->field("r"); });
+         auto order = find_first(log, "out", {});
+         if (!order) return false;
+         auto call = find_first(log, "call", {{"e", order->field("e")}},
+                                [&](const LogEntry& e) { return e.field("r") != order->field("r"); });
          if (!call) return false;
-         insert_stray_call(log, *call, out->at + 1300);
+         insert_stray_call(log, *call, order->at + 1300);
          return true;
        }},
       {"backwards",
        [](Log& log) {
-         std::map<std::string, LogEntry> had;  // by destination and key
+         std::map<std::string, LogEntry> delivered;  // by destination and key
          for (const auto& call : Log(log)) {
            if (call.kind != "call" || call.field("id").find('.') == std::string::npos) continue;
-           auto position = call.field("dest") + " " + call.field("key");
-           auto before = had.find(position);
-           if (before != had.end() && number(before->second, "v") < number(call, "v")) {
-             auto answer = first(log, "answer", {{"id", call.field("id")}, {"dest", call.field("dest")}});
+           auto dest_and_key = call.field("dest") + " " + call.field("key");
+           auto before = delivered.find(dest_and_key);
+           if (before != delivered.end() && number(before->second, "v") < number(call, "v")) {
+             auto answer =
+                 find_first(log, "answer", {{"id", call.field("id")}, {"dest", call.field("dest")}});
              if (answer) return insert(log, before->second, answer->at + 100), true;
            }
-           had.emplace(position, call);
+           delivered.emplace(dest_and_key, call);
          }
          return false;
        }},
@@ -251,23 +256,25 @@
 
 // Removes a subscriber's deliveries of the latest version of one key. late: of a subscriber that joined after
 // the document was submitted.
-bool forget_delivery(Log& log, bool late) {
+bool erase_delivery(Log& log, bool late) {
   for (const auto& subscriber : Log(log)) {
     if (subscriber.kind != "subscriber") continue;
-    for (const auto& hand : Log(log)) {
-      if (hand.kind != "hand" || hand.field("type") != "status" || (hand.at < subscriber.at) != late)
+    for (const auto& submission : Log(log)) {
+      if (submission.kind != "hand" || submission.field("type") != "status" ||
+          (submission.at < subscriber.at) != late)
         continue;
-      bool newer =
-          first(log, "hand", {{"type", "status"}, {"key", hand.field("key")}}, [&](const LogEntry& e) {
-            return number(e, "v") > number(hand, "v");
-          }).has_value();
-      auto call =
-          first(log, "call",
-                {{"dest", subscriber.field("dest")}, {"key", hand.field("key")}, {"v", hand.field("v")}});
+      bool newer = find_first(log, "hand", {{"type", "status"}, {"key", submission.field("key")}},
+                              [&](const LogEntry& e) { return number(e, "v") > number(submission, "v"); })
+                       .has_value();
+      auto call = find_first(log, "call",
+                             {{"dest", subscriber.field("dest")},
+                              {"key", submission.field("key")},
+                              {"v", submission.field("v")}});
       if (newer || !call) continue;
       std::erase_if(log, [&](const LogEntry& e) {
-        return e.matches(
-            "call", {{"dest", subscriber.field("dest")}, {"key", hand.field("key")}, {"v", hand.field("v")}});
+        return e.matches("call", {{"dest", subscriber.field("dest")},
+                                  {"key", submission.field("key")},
+                                  {"v", submission.field("v")}});
       });
       return true;
     }
@@ -284,8 +291,8 @@
 }
 
 bool inject_violation(const std::string& name, Log& log) {
-  if (name == "joiner") return forget_delivery(log, true);
-  if (name == "convergence") return forget_delivery(log, false);
+  if (name == "joiner") return erase_delivery(log, true);
+  if (name == "convergence") return erase_delivery(log, false);
   return injectors().at(name)(log);
 }
 
--- a/src/trial/injected_violations.h
+++ b/src/trial/injected_violations.h
@@ -1,5 +1,5 @@
 // Mutates a trial's log so that it shows a violation, as a faulty relay would have caused it, to prove that
-// the auditor detects it. Used only where a violation is asked for.
+// the auditor detects it. Used only with --plant.
 #pragma once
 
 #include <string>
--- a/src/trial/main.cpp
+++ b/src/trial/main.cpp
@@ -20,7 +20,7 @@
 
 using namespace rockcrank::trial;
 
-constexpr int exit_holds = 0, exit_broken = 1, exit_bad_arguments = 2;
+constexpr int exit_passed = 0, exit_violated = 1, exit_bad_arguments = 2;
 
 struct Arguments {
   unsigned long seed = 1;
@@ -51,7 +51,7 @@
   auto parsed = options.parse(argc, argv);
   if (parsed.count("help")) {
     std::fputs(options.help().c_str(), stdout);
-    std::exit(exit_holds);
+    std::exit(exit_passed);
   }
   if (!parsed.unmatched().empty())
     throw std::runtime_error("unexpected argument '" + parsed.unmatched().front() + "'");
@@ -97,12 +97,12 @@
 }
 
 int print_verdict(const std::vector<Violation>& found, const std::string& description) {
-  for (const auto& one : found) {
-    std::printf("broken: %s: %s\n", one.check.c_str(), one.summary.c_str());
-    for (const auto& line : one.evidence) std::printf("    %s\n", line.c_str());
+  for (const auto& violation : found) {
+    std::printf("broken: %s: %s\n", violation.check.c_str(), violation.summary.c_str());
+    for (const auto& line : violation.evidence) std::printf("    %s\n", line.c_str());
   }
   std::printf("%s: %s\n", description.c_str(), found.empty() ? "holds" : "broken");
-  return found.empty() ? exit_holds : exit_broken;
+  return found.empty() ? exit_passed : exit_violated;
 }
 
 void mutate_log(const std::string& name, Log& log) {
--- a/src/trial/process_faults.cpp
+++ b/src/trial/process_faults.cpp
@@ -35,8 +35,8 @@
 
 class RandomSource {
  public:
-  RandomSource(std::uint64_t seed, const std::string& relay, int life)
-      : engine_(seed * 1000003 + std::hash<std::string>{}(relay + "/" + std::to_string(life))) {}
+  RandomSource(std::uint64_t seed, const std::string& relay, int incarnation)
+      : engine_(seed * 1000003 + std::hash<std::string>{}(relay + "/" + std::to_string(incarnation))) {}
   int between(int low, int high) { return std::uniform_int_distribution<int>(low, high)(engine_); }
   bool happens(int percent) { return between(1, 100) <= percent; }
 
@@ -47,9 +47,9 @@
 }  // namespace
 
 std::map<std::string, std::string> draw_process_faults(const std::string& library, std::uint64_t seed,
-                                                       const std::string& relay, int life) {
+                                                       const std::string& relay, int incarnation) {
   if (library.empty()) return {};
-  RandomSource random(seed, relay, life);
+  RandomSource random(seed, relay, incarnation);
   std::string rules;
   auto add = [&](const char* function, const char* error, const std::string& when) {
     rules += std::string(function) + ":" + error + ":" + when + "\n";
--- a/src/trial/process_faults.h
+++ b/src/trial/process_faults.h
@@ -10,6 +10,6 @@
 
 // Returns environment variables for the process; empty if it runs without faults.
 std::map<std::string, std::string> draw_process_faults(const std::string& library, std::uint64_t seed,
-                                                       const std::string& relay, int life);
+                                                       const std::string& relay, int incarnation);
 
 }  // namespace rockcrank::trial
--- a/src/trial/random_trial.cpp
+++ b/src/trial/random_trial.cpp
@@ -16,8 +16,8 @@
 namespace {
 
 constexpr Millis mean_document_gap = 20;
-constexpr Millis ends_timeout = 20000, convergence_timeout = 12000;
-constexpr double faults_a_second = 1.6;
+constexpr Millis final_answers_timeout = 20000, convergence_timeout = 12000;
+constexpr double faults_per_second = 1.6;
 constexpr int destinations = 5;  // destination 1 has two endpoints; destination 5 takes batches
 const std::vector<int> subscribers{21, 22, 23};
 
@@ -26,12 +26,12 @@
   RandomTrial(Harness& harness, std::string part, double seconds)
       : names_(harness.relay_names()),
         part_(std::move(part)),
-        length_(seconds * 1000),
+        duration_(seconds * 1000),
         random_(harness.setup().seed) {
     draw_load(), draw_faults();
   }
   Schedule& schedule() { return schedule_; }
-  Millis healed_at() const { return 0.65 * length_; }
+  Millis healed_at() const { return 0.65 * duration_; }
 
  private:
   int below(int count) { return static_cast<int>(random_() % static_cast<unsigned long>(count)); }
@@ -48,7 +48,7 @@
     int number = 0;
     std::map<std::string, int> versions;
     bool streams = part_.empty() || part_ == "latest";
-    for (Millis at = 0; at < length_; at += between(0.5, 1.5) * mean_document_gap) {
+    for (Millis at = 0; at < duration_; at += between(0.5, 1.5) * mean_document_gap) {
       auto id = "d" + std::to_string(++number);
       auto relay = any_relay();
       Options options{{"type", types[below(5)]},
@@ -81,7 +81,7 @@
   }
 
   void draw_faults() {
-    auto count = static_cast<int>(faults_a_second * healed_at() / 1000) + 1;
+    auto count = static_cast<int>(faults_per_second * healed_at() / 1000) + 1;
     // Only one member loses its folder, so at most one of the three holders of a document does.
     auto victim = any_relay();
     for (int i = 0; i < count; ++i) {
@@ -172,24 +172,23 @@
     schedule_action(from, [=](Harness& harness) { harness.terminate(relay); });
     schedule_action(to + 4000, [=](Harness& harness) { harness.start_without_waiting(relay, {}); });
   }
-  // Isolates a member: it receives but nobody receives from it or, if it does not hear either, both ways are
-  // cut.
-  void add_isolation(Millis from, Millis to, const std::string& relay, bool hears) {
-    auto each = [names = names_, relay, hears](Harness& harness, LinkState way) {
+  // Isolates a member: its links to the others are cut and, unless it still receives, also their links to it.
+  void add_isolation(Millis from, Millis to, const std::string& relay, bool receives) {
+    auto set_links = [names = names_, relay, receives](Harness& harness, LinkState state) {
       for (const auto& other : names) {
         if (other == relay) continue;
-        harness.set_link(relay, other, way);
-        if (!hears) harness.set_link(other, relay, way);
+        harness.set_link(relay, other, state);
+        if (!receives) harness.set_link(other, relay, state);
       }
     };
     add_fault(
-        from, to, [=](Harness& harness) { each(harness, LinkState::cut); },
-        [=](Harness& harness) { each(harness, LinkState::open); });
+        from, to, [=](Harness& harness) { set_links(harness, LinkState::cut); },
+        [=](Harness& harness) { set_links(harness, LinkState::open); });
   }
 
   std::vector<std::string> names_;
   std::string part_;
-  Millis length_;
+  Millis duration_;
   std::minstd_rand random_;
   Schedule schedule_;
 };
@@ -224,9 +223,9 @@
   trial.schedule().play(harness, [&](Millis at) {
     if (joined || at <= trial.healed_at()) return;
     joined = true;
-    auto late = std::to_string(subscribers.back());
-    harness.set_endpoint("e" + late, {{"for", late}});
-    harness.record("subscriber", {{"dest", late}});
+    auto late_subscriber = std::to_string(subscribers.back());
+    harness.set_endpoint("e" + late_subscriber, {{"for", late_subscriber}});
+    harness.record("subscriber", {{"dest", late_subscriber}});
   });
   // After healing, all relays are started again and the remaining documents are delivered.
   harness.heal_links();
@@ -241,7 +240,7 @@
         !harness.start(relay, {}))
       if (!harness.start(relay, {}))
         return relay + " does not start again; its log:\n" + harness.process_log(relay);
-  harness.run_until(ends_timeout, [&] {
+  harness.run_until(final_answers_timeout, [&] {
     return harness.all_submissions_answered() && harness.documents_without_end().empty();
   });
   if (streams) {
--- a/src/trial/scene.cpp
+++ b/src/trial/scene.cpp
@@ -10,7 +10,7 @@
 namespace rockcrank::trial {
 namespace {
 
-// for a condition; longer than any takeover takes with all cores busy
+// Time to wait for a condition; longer than any takeover takes with all cores busy.
 constexpr Millis default_timeout = 8000;
 
 double number(const Options& options, const std::string& name, double fallback) {
@@ -18,9 +18,9 @@
   return found == options.end() ? fallback : std::stod(found->second);
 }
 
-// The fields that log entries must match: all options except those that say how to wait.
+// Returns the fields that log entries must match: all options except those of the wait itself.
 Options condition_fields(Options options) {
-  for (const char* own : {"within", "least", "for_ms", "most"}) options.erase(own);
+  for (const char* wait_option : {"within", "least", "for_ms", "most"}) options.erase(wait_option);
   return options;
 }
 
@@ -60,8 +60,8 @@
             nlohmann::json::parse(step.positional.at(2));
       else if (verb == "stream") {
         std::istringstream in(step.options.at("subscribers"));
-        for (std::string one; std::getline(in, one, ',');)
-          setup.streams[step.positional.at(1)].push_back(std::stoi(one));
+        for (std::string subscriber; std::getline(in, subscriber, ',');)
+          setup.streams[step.positional.at(1)].push_back(std::stoi(subscriber));
       } else if (verb == "fleet") {
         for (const auto& [key, value] : step.options) setup.fleet_keys[key] = value;
       } else {
@@ -84,12 +84,12 @@
 }
 
 std::string Scene::play(Harness& harness) const {
-  std::size_t mark = 0;
+  std::size_t search_from = 0;
   for (const auto& step : steps_) {
     if (is_setup(step)) continue;
     std::string failure;
     try {
-      failure = run_step(harness, step, mark);
+      failure = run_step(harness, step, search_from);
     } catch (const std::exception& error) {
       throw std::runtime_error(path_ + ":" + std::to_string(step.line) + ": " + step.text + ": " +
                                error.what());
@@ -99,18 +99,19 @@
   return {};
 }
 
-std::string Scene::run_step(Harness& harness, const Step& step, std::size_t& mark) const {
+std::string Scene::run_step(Harness& harness, const Step& step, std::size_t& search_from) const {
   const auto& positional = step.positional;
   const auto& options = step.options;
   const auto& verb = positional[0];
-  auto all = harness.relay_names();
-  all.erase(std::remove_if(all.begin(), all.end(), [](auto& id) { return id.back() == 'b' || id[0] == 'x'; }),
-            all.end());
+  auto members = harness.relay_names();
+  members.erase(std::remove_if(members.begin(), members.end(),
+                               [](auto& id) { return id.back() == 'b' || id[0] == 'x'; }),
+                members.end());
   auto relays_from = [&](std::size_t at) {
     return positional.size() > at
                ? std::vector<std::string>(positional.begin() + static_cast<std::ptrdiff_t>(at),
                                           positional.end())
-               : all;
+               : members;
   };
   auto within = number(options, "within", default_timeout);
   // "n1->n2" is one direction, "n1 n2" both directions, "n1" all links of n1.
@@ -122,7 +123,7 @@
     } else if (positional.size() > at + 1) {
       found = {{positional[at], positional[at + 1]}, {positional[at + 1], positional[at]}};
     } else {
-      for (const auto& other : all)
+      for (const auto& other : members)
         if (other != positional[at])
           found.emplace_back(positional[at], other), found.emplace_back(other, positional[at]);
     }
@@ -148,7 +149,7 @@
   } else if (verb == "kill-caller") {
     // Kills the relay that made the last call.
     auto call = std::find_if(harness.log().rbegin(), harness.log().rend(),
-                             [](auto& one) { return one.kind == "call"; });
+                             [](auto& entry) { return entry.kind == "call"; });
     if (call == harness.log().rend()) return "no call in the log";
     harness.kill(call->field("r"));
   } else if (verb == "folder") {
@@ -194,18 +195,19 @@
          times = static_cast<int>(number(options, "times", 1));
     for (int version = first; version < first + times; ++version)
       for (int key = 0; key < static_cast<int>(number(options, "keys", 1)); ++key) {
-        auto one = options;
-        one["key"] = "b" + std::to_string(key), one["v"] = std::to_string(version);
-        one["type"] = options.count("type") ? options.at("type") : "status";
+        auto version_options = options;
+        version_options["key"] = "b" + std::to_string(key), version_options["v"] = std::to_string(version);
+        version_options["type"] = options.count("type") ? options.at("type") : "status";
         harness.submit(positional.at(1),
-                       positional.at(2) + "-" + std::to_string(version) + "-" + std::to_string(key), one);
+                       positional.at(2) + "-" + std::to_string(version) + "-" + std::to_string(key),
+                       version_options);
       }
   } else if (verb == "offline" || verb == "online") {
     harness.set_offline(positional.at(1), positional.at(2), verb == "offline");
   } else if (verb == "subscriber") {
     harness.record("subscriber", {{"dest", positional.at(1)}});
   } else if (verb == "mark") {
-    mark = harness.log().size();
+    search_from = harness.log().size();
   } else if (verb == "until" && positional.at(1) == "peers") {
     auto start = harness.now();
     if (!harness.run_until(within, [&] { return harness.all_linked_since(start); }))
@@ -213,17 +215,20 @@
     harness.record("peers", {});
   } else if (verb == "until") {
     auto wanted = condition_fields(options);
-    auto least = static_cast<std::size_t>(number(options, "least", 1));
-    if (!harness.run_until(within,
-                           [&] { return harness.count_entries(positional.at(1), wanted, mark) >= least; }))
-      return "seen " + std::to_string(harness.count_entries(positional.at(1), wanted, mark)) + " times";
+    auto min_count = static_cast<std::size_t>(number(options, "least", 1));
+    if (!harness.run_until(within, [&] {
+          return harness.count_entries(positional.at(1), wanted, search_from) >= min_count;
+        }))
+      return "seen " + std::to_string(harness.count_entries(positional.at(1), wanted, search_from)) +
+             " times";
   } else if (verb == "none") {
     // Waits the full time, to see that no matching entry appears.
     auto wanted = condition_fields(options);
-    auto most = static_cast<std::size_t>(number(options, "most", 0));
-    harness.run_until(number(options, "for_ms", 0),
-                      [&] { return harness.count_entries(positional.at(1), wanted, mark) > most; });
-    if (harness.count_entries(positional.at(1), wanted, mark) > most) return "it was seen";
+    auto max_count = static_cast<std::size_t>(number(options, "most", 0));
+    harness.run_until(number(options, "for_ms", 0), [&] {
+      return harness.count_entries(positional.at(1), wanted, search_from) > max_count;
+    });
+    if (harness.count_entries(positional.at(1), wanted, search_from) > max_count) return "it was seen";
   } else if (verb == "pause") {
     harness.run_until(std::stod(positional.at(1)), [] { return false; });
   } else if (verb == "logged") {
@@ -235,21 +240,21 @@
     if (!harness.run_until(within, [&] {
           return harness.all_submissions_answered() && harness.documents_without_end().empty();
         })) {
-      auto left = harness.documents_without_end();
-      return std::to_string(left.size()) + " documents have no final answer; the first is " +
-             (left.empty() ? "-" : left[0]);
+      auto unended = harness.documents_without_end();
+      return std::to_string(unended.size()) + " documents have no final answer; the first is " +
+             (unended.empty() ? "-" : unended[0]);
     }
   } else if (verb == "latest") {
     Millis checked_at = -1e9;
-    bool holds = false;
+    bool converged = false;
     harness.run_until(within, [&] {
       if (harness.now() - checked_at > 50)
-        holds = harness.all_submissions_answered() && harness.subscribers_converged(),
+        converged = harness.all_submissions_answered() && harness.subscribers_converged(),
         checked_at = harness.now();
-      return holds;
+      return converged;
     });
     harness.record("quiet", {});
-    if (!holds) return "some subscriber lacks the latest version of some key";
+    if (!converged) return "some subscriber lacks the latest version of some key";
   } else if (verb == "quiet") {
     harness.record("quiet", {});
   } else {
--- a/src/trial/scene.h
+++ b/src/trial/scene.h
@@ -25,7 +25,7 @@
     Options options;
   };
   bool is_setup(const Step& step) const;
-  std::string run_step(Harness& harness, const Step& step, std::size_t& mark) const;
+  std::string run_step(Harness& harness, const Step& step, std::size_t& search_from) const;
   std::string path_;
   std::vector<Step> steps_;
 };
