--- a/src/model/cold_fleet.cpp
+++ b/src/model/cold_fleet.cpp
@@ -21,7 +21,7 @@
 constexpr Millis connect_timeout = 1500;
 constexpr Millis preconnect_interval = 100;
 constexpr double small_budget = 30;
-constexpr DestinationId the_destination{1};
+constexpr DestinationId destination_id{1};
 
 using RandomEngine = std::mt19937_64;
 
@@ -55,7 +55,7 @@
     relays_.resize(scenario_.relay_rates.size());
     for (std::size_t i = 0; i < relays_.size(); ++i) {
       start(i, draw_uniform(random_, 0, 1000));
-      schedule(draw_uniform(random_, 0, 1000) + next_gap(i), Event::arrival, i);
+      schedule(draw_uniform(random_, 0, 1000) + next_interarrival_time(i), Event::arrival, i);
     }
     for (const auto& restart : scenario_.restarts) {
       schedule(restart.from, Event::kill, restart.relay);
@@ -96,7 +96,7 @@
     std::map<DocId, HeldDocument> held;
     // By route: the stored status and when it was stored.
     std::map<std::uint64_t, std::pair<RouteStatus, Millis>> persisted_routes;
-    std::uint64_t process_generation = 0, wake = 0;
+    std::uint64_t process_generation = 0, wake_generation = 0;
     bool is_running = true;
     Millis informed_at = -1;  // last failed call in an outage or gossip of one; negative: none
     int connections = 0;
@@ -115,20 +115,20 @@
 
   void trace(std::size_t relay, const std::string& text) {
     if (!options_.trace) return;
-    char moment[60];
-    std::snprintf(moment, sizeof moment, "%9.0f relay %zu%s: ", now_, relay,
+    char prefix[60];
+    std::snprintf(prefix, sizeof prefix, "%9.0f relay %zu%s: ", now_, relay,
                   outage_at(now_) ? " (outage)" : "");
-    *options_.trace += moment + text + "\n";
+    *options_.trace += prefix + text + "\n";
   }
   bool limits_listed() const {
     return scenario_.limit_knowledge == LimitKnowledge::listed ||
            scenario_.limit_knowledge == LimitKnowledge::listed_roughly;
   }
-  Millis next_gap(std::size_t relay) {
+  Millis next_interarrival_time(std::size_t relay) {
     return 1000 * std::exponential_distribution<double>(scenario_.relay_rates[relay])(random_);
   }
   void schedule(Millis at, Event::Kind kind, std::size_t relay, std::uint64_t number = 0) {
-    events_.push({kind, at, ++order_, relay, number});
+    events_.push({kind, at, ++last_event_order_, relay, number});
   }
 
   const Outage* outage_at(Millis when) const {
@@ -137,20 +137,20 @@
     return nullptr;
   }
   // The last return by that time; negative: none.
-  Millis return_before(Millis when) const {
+  Millis last_return_before(Millis when) const {
     Millis last = -1;
     for (const auto& outage : scenario_.outages)
       if (when >= outage.to) last = outage.to;
     return last;
   }
-  Millis last_outage_began(Millis when) const {
+  Millis last_outage_start(Millis when) const {
     Millis last = 0;
     for (const auto& outage : scenario_.outages)
       if (when >= outage.from) last = outage.from;
     return last;
   }
   double capacity_at(Millis when) const {
-    Millis returned = return_before(when);
+    Millis returned = last_return_before(when);
     double age = returned < 0 ? 1 : std::clamp((when - returned) / scenario_.warm_up_time, 0.0, 1.0);
     return scenario_.capacity * (scenario_.start_capacity + (1 - scenario_.start_capacity) * age);
   }
@@ -163,7 +163,7 @@
     for (int n = 1; n <= scenario_.endpoints; ++n) {
       EndpointEntry entry;
       entry.endpoint = EndpointId(n);
-      entry.destination = the_destination;
+      entry.destination = destination_id;
       entry.listed_rate = limits_listed() ? scenario_.listed_limit : 0;
       entries.push_back(entry);
     }
@@ -173,11 +173,11 @@
 
   void handle(const Event& event) {
     Relay& relay = relays_[event.relay];
-    bool of_call = event.kind == Event::outcome || event.kind == Event::connected;
-    if (of_call && calls_[event.number].process_generation != relay.process_generation) return;
-    if (event.kind == Event::wake && event.number != relay.wake) return;
+    bool is_call_event = event.kind == Event::outcome || event.kind == Event::connected;
+    if (is_call_event && calls_[event.number].process_generation != relay.process_generation) return;
+    if (event.kind == Event::wake && event.number != relay.wake_generation) return;
     if (event.kind == Event::arrival) {
-      schedule(now_ + next_gap(event.relay), Event::arrival, event.relay);
+      schedule(now_ + next_interarrival_time(event.relay), Event::arrival, event.relay);
       if (scenario_.idle_during_outage[event.relay] && outage_at(now_ + scenario_.call_time)) return;
     }
     if (event.kind == Event::kill) return kill(event.relay);
@@ -199,7 +199,7 @@
   void accept_document(Relay& relay, DocId id, const HeldDocument& held) {
     Document document;
     document.id = id;
-    document.destination = the_destination;
+    document.destination = destination_id;
     document.time_left = held.expiry - now_;
     document.transmissions = held.transmissions;
     document.may_have_run = held.may_have_run;
@@ -214,7 +214,7 @@
     accept_document(relay, id, held);
   }
   bool is_cold(Millis when) const {
-    Millis returned = return_before(when);
+    Millis returned = last_return_before(when);
     return returned >= 0 && when < returned + scenario_.warm_up_time && !outage_at(when);
   }
 
@@ -254,10 +254,10 @@
     start(i, now_);
     for (const auto& [route, entry] : relay.persisted_routes) {
       auto [status, persisted_at] = entry;
-      Millis ago = now_ - persisted_at;
-      status.retry_after_left = std::max(0.0, status.retry_after_left - ago);
-      status.state_age += ago;
-      status.limit_age += ago;
+      Millis stored_for = now_ - persisted_at;
+      status.retry_after_left = std::max(0.0, status.retry_after_left - stored_for);
+      status.state_age += stored_for;
+      status.limit_age += stored_for;
       relay.decision->apply_route_status(status);
     }
     for (auto& [id, held] : relay.held)
@@ -275,24 +275,24 @@
   }
 
   void record_destination_call(const Relay& relay) {
-    destination_calls_.push_back({now_, relay.informed_at >= last_outage_began(now_)});
+    destination_calls_.push_back({now_, relay.informed_at >= last_outage_start(now_)});
   }
 
   void decide(std::size_t i) {
     Relay& relay = relays_[i];
-    Actions done = relay.decision->decide();
-    for (const auto& rejected : done.rejected) relay.held.erase(rejected.doc);
-    for (DocId doc : done.abandoned) relay.held.erase(doc);
-    for (const auto& line : done.log) trace(i, line);
+    Actions actions = relay.decision->decide();
+    for (const auto& rejected : actions.rejected) relay.held.erase(rejected.doc);
+    for (DocId doc : actions.abandoned) relay.held.erase(doc);
+    for (const auto& line : actions.log) trace(i, line);
     for (const auto& status : relay.decision->route_statuses_to_persist())
       relay.persisted_routes[status.route] = {status, now_};
-    send(i, done.transmissions);
+    send(i, actions.transmissions);
     if (scenario_.relays_gossip)
       for (const auto& status : relay.decision->route_statuses(false)) send_gossip(i, status);
-    ++relay.wake;
-    if (done.wake_in >= 0) {
-      Millis ticks = std::ceil(std::max(done.wake_in, 1.0) / tick);
-      schedule(now_ + ticks * tick, Event::wake, i, relay.wake);
+    ++relay.wake_generation;
+    if (actions.wake_in >= 0) {
+      Millis ticks = std::ceil(std::max(actions.wake_in, 1.0) / tick);
+      schedule(now_ + ticks * tick, Event::wake, i, relay.wake_generation);
     }
   }
 
@@ -303,21 +303,21 @@
   }
 
   // Transmissions of one turn to the same endpoint share a call, up to the batch size.
-  void send(std::size_t i, const std::vector<Transmit>& transmitted) {
+  void send(std::size_t i, const std::vector<Transmit>& transmissions) {
     Relay& relay = relays_[i];
     const std::uint64_t first = calls_.size();
-    std::map<EndpointId, std::uint64_t> open;
-    for (const auto& one : transmitted) {
-      auto found = open.find(one.endpoint);
-      bool joins = found != open.end() &&
-                   static_cast<int>(calls_[found->second].documents.size()) < scenario_.max_batch_size;
-      if (!joins) {
-        open[one.endpoint] = calls_.size();
-        calls_.push_back(new_call(relay, one));
+    std::map<EndpointId, std::uint64_t> open_calls;
+    for (const auto& transmit : transmissions) {
+      auto found = open_calls.find(transmit.endpoint);
+      bool fits_batch = found != open_calls.end() &&
+                        static_cast<int>(calls_[found->second].documents.size()) < scenario_.max_batch_size;
+      if (!fits_batch) {
+        open_calls[transmit.endpoint] = calls_.size();
+        calls_.push_back(new_call(relay, transmit));
       }
-      Call& call = calls_[open[one.endpoint]];
-      call.outcome.duration = std::min(call.outcome.duration, one.timeout);
-      call.documents.emplace_back(one.doc, relay.held.at(one.doc).transmissions++);
+      Call& call = calls_[open_calls[transmit.endpoint]];
+      call.outcome.duration = std::min(call.outcome.duration, transmit.timeout);
+      call.documents.emplace_back(transmit.doc, relay.held.at(transmit.doc).transmissions++);
     }
     for (std::uint64_t number = first; number < calls_.size(); ++number) begin_call(i, number);
   }
@@ -327,7 +327,7 @@
     call.process_generation = relay.process_generation;
     call.sent = now_;
     call.outcome.endpoint = transmit.endpoint;
-    call.outcome.connection_idle_time = scenario_.host_knows_connections ? 0 : -1;
+    call.outcome.connection_idle_time = scenario_.host_reports_connections ? 0 : -1;
     call.outcome.duration = transmit.timeout;  // replaced when the result is known
     return call;
   }
@@ -351,23 +351,23 @@
 
   void write_call(std::size_t i, std::uint64_t number) {
     Call& call = calls_[number];
-    Millis connecting = now_ - call.sent;
+    Millis connecting_time = now_ - call.sent;
     Outcome& outcome = call.outcome;
     record_destination_call(relays_[i]);
     trace(i, "call " + std::to_string(number));
     const Outage* outage = outage_at(now_);
     outcome.result = TransmissionResult::answered;
-    Millis took = scenario_.call_time;
-    if (outage && draw_bool(random_, outage->failing_share)) took = fail(outcome, *outage);
-    else if (!outage && scenario_.rejects_excess && is_cold(now_) && !has_room())
-      outcome.result = TransmissionResult::refused, took = refusal_time;
+    Millis duration = scenario_.call_time;
+    if (outage && draw_bool(random_, outage->failing_share)) duration = fail(outcome, *outage);
+    else if (!outage && scenario_.rejects_excess && is_cold(now_) && !has_capacity())
+      outcome.result = TransmissionResult::refused, duration = refusal_time;
     add_hints(outcome);
     for (auto [doc, transmission] : call.documents)
       if (auto held = relays_[i].held.find(doc); held != relays_[i].held.end())
         held->second.may_have_run |= outcome.result == TransmissionResult::timed_out;
     call.sent = now_;
-    outcome.duration = connecting + took;
-    schedule(now_ + took, Event::outcome, i, number);
+    outcome.duration = connecting_time + duration;
+    schedule(now_ + duration, Event::outcome, i, number);
   }
 
   // Sets the result, and returns how long the relay takes to learn of it.
@@ -397,7 +397,7 @@
 
   // Whether the destination accepts a call now: it serves at its current capacity and queues up to half a
   // second of it.
-  bool has_room() {
+  bool has_capacity() {
     double rate = capacity_at(now_);
     queued_ = std::max(0.0, queued_ - rate * (now_ - queued_at_) / 1000);
     queued_at_ = now_;
@@ -418,23 +418,24 @@
   // Evaluates the overload window that begins with each call after a return.
   ColdReport report() const {
     ColdReport report;
-    bool first_span = true;
+    bool first_window = true;
     for (std::size_t first = 0, last = 0; first < destination_calls_.size(); ++first) {
       Millis from = destination_calls_[first].at;
       if (!is_cold(from)) continue;
       ++report.calls;
-      ColdSpan span;
-      Millis to = std::min(from + scenario_.overload_window, return_before(from) + scenario_.warm_up_time);
+      OverloadWindow window;
+      Millis to =
+          std::min(from + scenario_.overload_window, last_return_before(from) + scenario_.warm_up_time);
       for (last = first; last < destination_calls_.size() && destination_calls_[last].at <= to; ++last) {
         if (outage_at(destination_calls_[last].at)) break;
-        ++span.calls, span.calls_of_informed_relays += destination_calls_[last].from_informed_relay;
+        ++window.calls, window.calls_of_informed_relays += destination_calls_[last].from_informed_relay;
       }
-      span.budget = budget_from(from);
-      bool small = !options_.uniform_slack && span.budget < small_budget;
-      span.allowed = span.budget + (small ? 3 : 2) * std::sqrt(span.budget) + (small ? 3 : 2);
-      span.since_return = from - return_before(from);
-      auto rank = [](const ColdSpan& one) { return std::pair(one.violates_rule(), one.excess()); };
-      if (first_span || rank(span) > rank(report.worst)) report.worst = span, first_span = false;
+      window.budget = budget_from(from);
+      bool small = !options_.uniform_slack && window.budget < small_budget;
+      window.allowed = window.budget + (small ? 3 : 2) * std::sqrt(window.budget) + (small ? 3 : 2);
+      window.since_return = from - last_return_before(from);
+      auto rank = [](const OverloadWindow& one) { return std::pair(one.violates_rule(), one.excess()); };
+      if (first_window || rank(window) > rank(report.worst)) report.worst = window, first_window = false;
     }
     for (std::size_t n = 0; n < scenario_.outages.size(); ++n) {
       Millis from = scenario_.outages[n].to, to = from + scenario_.warm_up_time;
@@ -457,7 +458,7 @@
   std::vector<DestinationCall> destination_calls_;
   Millis now_ = 0, queued_at_ = 0, end_ = 0;
   double queued_ = 0, wanted_ = 0, delivered_ = 0;
-  std::uint64_t order_ = 0, last_document_ = 0;
+  std::uint64_t last_event_order_ = 0, last_document_ = 0;
 };
 
 void draw_outages(ColdScenario& scenario, RandomEngine& random) {
@@ -468,7 +469,7 @@
     Outage outage;
     outage.from = from;
     outage.kind = draw_bool(random, 0.8) ? kind : OutageKind(static_cast<int>(draw_uniform(random, 0, 6)));
-    // Without a reason given, refusals of a few seconds can't be told from a rate limit.
+    // Without a reason given, refusals of a few seconds can't be distinguished from a rate limit.
     Millis shortest = outage.kind == OutageKind::refuses_calls ? 5000 : 3000;
     outage.to = from + std::exp(draw_uniform(random, std::log(shortest), std::log(30000)));
     if (outage.kind == OutageKind::fails_most) outage.failing_share = draw_uniform(random, 0.6, 1);
@@ -479,20 +480,20 @@
 
 // Kills none, one, several or most of the relays, at once or spread out, during the outage or the return.
 void draw_restarts(ColdScenario& scenario, RandomEngine& random) {
-  double kind = draw_uniform(random, 0, 1);
-  if (kind < 0.4) return;
-  double share = kind < 0.55   ? 0
-                 : kind < 0.75 ? draw_uniform(random, 0.05, 0.4)
-                               : draw_uniform(random, 0.4, 0.9);
+  double category = draw_uniform(random, 0, 1);
+  if (category < 0.4) return;
+  double share = category < 0.55   ? 0
+                 : category < 0.75 ? draw_uniform(random, 0.05, 0.4)
+                                   : draw_uniform(random, 0.4, 0.9);
   bool together = draw_bool(random, 0.5), storage_kept = draw_bool(random, 0.75);
   const Outage& last = scenario.outages.back();
-  Millis moment = draw_uniform(random, last.from, last.to + scenario.warm_up_time);
+  Millis restart_time = draw_uniform(random, last.from, last.to + scenario.warm_up_time);
   std::size_t count = scenario.relay_rates.size();
   for (std::size_t i = 0; i < count; ++i) {
     if (share == 0 ? i != 0 : !draw_bool(random, share)) continue;
     Restart restart;
     restart.relay = i;
-    restart.from = together ? moment : draw_uniform(random, last.from, last.to + scenario.warm_up_time);
+    restart.from = together ? restart_time : draw_uniform(random, last.from, last.to + scenario.warm_up_time);
     restart.to = restart.from + draw_uniform(random, 300, 1500);
     restart.storage_kept = storage_kept;
     scenario.restarts.push_back(restart);
@@ -531,8 +532,8 @@
       !restarts.empty() && !restarts[0].storage_kept ? " with empty storage" : "", kinds.c_str(), limit,
       limits[static_cast<int>(limit_knowledge)], capacity, start_capacity, warm_up_time / 1000,
       overload_multiple, overload_window / 1000, max_batch_size, endpoints, late_connection_share,
-      rejects_excess ? ", rejects excess" : "", host_knows_connections ? "" : ", host reports no connections",
-      relays_gossip ? ", relays gossip" : "",
+      rejects_excess ? ", rejects excess" : "",
+      host_reports_connections ? "" : ", host reports no connections", relays_gossip ? ", relays gossip" : "",
       static_cast<std::size_t>(std::count(idle_during_outage.begin(), idle_during_outage.end(), true)));
   return text;
 }
@@ -546,8 +547,8 @@
   scenario.start_capacity = draw_uniform(random, 0.14, 0.31);
   static const double multiples[] = {1.5, 2, 2.5, 2.5};
   scenario.overload_multiple = multiples[static_cast<int>(draw_uniform(random, 0, 4))];
-  static const Millis fall_times[] = {1500, 2000, 2000, 3000};
-  scenario.overload_window = fall_times[static_cast<int>(draw_uniform(random, 0, 4))];
+  static const Millis windows[] = {1500, 2000, 2000, 3000};
+  scenario.overload_window = windows[static_cast<int>(draw_uniform(random, 0, 4))];
   scenario.warm_up_time = draw_uniform(random, 9000, 14000);
   scenario.call_time = std::exp(draw_uniform(random, std::log(40), std::log(600)));
   scenario.limit_knowledge = LimitKnowledge(static_cast<int>(draw_uniform(random, 0, 4)));
@@ -561,7 +562,7 @@
   }
   scenario.rejects_excess = draw_bool(random, 0.4);
   scenario.relays_gossip = draw_bool(random, 0.15);
-  scenario.host_knows_connections = draw_bool(random, 0.7);
+  scenario.host_reports_connections = draw_bool(random, 0.7);
   std::lognormal_distribution<double> skew(
       0, draw_uniform(random, 0, 1));  // some relays see several times the mean
   double sum = 0;
--- a/src/model/cold_fleet.h
+++ b/src/model/cold_fleet.h
@@ -35,7 +35,7 @@
   bool storage_kept = true;
 };
 
-enum class LimitKnowledge : std::uint8_t { no, listed, listed_roughly, reported };
+enum class LimitKnowledge : std::uint8_t { unknown, listed, listed_roughly, reported };
 
 // The conditions of one simulation, drawn from a seed or set by a test.
 struct ColdScenario {
@@ -49,21 +49,21 @@
   Millis overload_window = 2000;
   Millis warm_up_time = 12000;
   Millis call_time = 120;
-  LimitKnowledge limit_knowledge = LimitKnowledge::no;
+  LimitKnowledge limit_knowledge = LimitKnowledge::unknown;
   int endpoints = 1;
   int max_batch_size = 1;
-  double late_connection_share = 0;    // share of calls whose connection is delayed
-  Millis max_connection_delay = 0;     // upper bound of that delay
-  bool rejects_excess = false;         // calls above the current capacity are refused
-  bool host_knows_connections = true;  // whether the host reports new connections, as with sockets
-  bool relays_gossip = false;          // route statuses of one relay reach all others
+  double late_connection_share = 0;      // share of calls whose connection is delayed
+  Millis max_connection_delay = 0;       // upper bound of that delay
+  bool rejects_excess = false;           // calls above the current capacity are refused
+  bool host_reports_connections = true;  // whether the host reports new connections, as with sockets
+  bool relays_gossip = false;            // route statuses of one relay reach all others
   std::vector<Outage> outages;
   std::vector<Restart> restarts;
   std::string describe() const;  // one line
 };
 
 // The calls within one overload window, and the budget for them.
-struct ColdSpan {
+struct OverloadWindow {
   double calls = 0;
   double calls_of_informed_relays = 0;  // of relays that knew of the outage
   double allowed = 0;                   // N + 3 sqrt(N) + 3, from N = 30 on N + 2 sqrt(N) + 2
@@ -74,7 +74,7 @@
 };
 
 struct ColdReport {
-  ColdSpan worst;             // violates the rule, or comes nearest to the bound
+  OverloadWindow worst;       // violates the rule, or comes nearest to the bound
   double calls = 0;           // after a return, while the destination was cold
   double possible_calls = 0;  // calls that the destination could have served in that time
   double wanted = 0;          // documents held or submitted in that time
--- a/src/model/cold_run.cpp
+++ b/src/model/cold_run.cpp
@@ -32,14 +32,14 @@
   return draw_cold_scenario(seed, relays > 0 ? relays : draw_relays(seed));
 }
 
-void print_span(const char* what, std::uint64_t seed, const Simulation& simulation) {
-  const ColdSpan& span = simulation.report.worst;
+void print_window(const char* what, std::uint64_t seed, const Simulation& simulation) {
+  const OverloadWindow& window = simulation.report.worst;
   std::printf(
       "%s: cold seed %llu: %.0f calls, %.0f of them by relays informed of the outage, %.1f allowed (budget "
       "%.1f), "
       "%.0f ms after the return; unused %.2f\n  %s\n",
-      what, static_cast<unsigned long long>(seed), span.calls, span.calls_of_informed_relays, span.allowed,
-      span.budget, span.since_return, simulation.report.unused_share(),
+      what, static_cast<unsigned long long>(seed), window.calls, window.calls_of_informed_relays,
+      window.allowed, window.budget, window.since_return, simulation.report.unused_share(),
       simulation.scenario.describe().c_str());
 }
 
@@ -70,20 +70,20 @@
   std::uint64_t nearest = first;
   for (std::uint64_t seed = first; seed <= last; ++seed) {
     const Simulation& simulation = simulations[seed - first];
-    const ColdSpan& span = simulation.report.worst;
+    const OverloadWindow& window = simulation.report.worst;
     calls += simulation.report.calls;
     possible_calls += simulation.report.possible_calls;
     wanted += simulation.report.wanted;
     delivered += simulation.report.delivered;
-    over_allowance += span.excess() > 0;
-    auto used = [](const ColdSpan& one) {
+    over_allowance += window.excess() > 0;
+    auto used = [](const OverloadWindow& one) {
       return one.allowed > 0 ? one.calls_of_informed_relays / one.allowed : 0;
     };
-    if (used(span) > used(simulations[nearest - first].report.worst)) nearest = seed;
-    if (!span.violates_rule()) continue;
-    if (++violations == 1 || keep_going) print_span("broken", seed, simulation);
+    if (used(window) > used(simulations[nearest - first].report.worst)) nearest = seed;
+    if (!window.violates_rule()) continue;
+    if (++violations == 1 || keep_going) print_window("broken", seed, simulation);
   }
-  print_span("nearest", nearest, simulations[nearest - first]);
+  print_window("nearest", nearest, simulations[nearest - first]);
   std::printf(
       "cold: %zu simulations, %llu broken, %llu with more calls than allowed from all relays; while cold: "
       "%.0f calls, "
--- a/src/model/custody.cpp
+++ b/src/model/custody.cpp
@@ -138,7 +138,7 @@
   void on_process_end(World& world, int index) override {
     for (const auto& [number, doc] : nodes_[index]->storage.docs) {
       auto& expected = docs_[doc.doc];
-      if (expected.accepted && !expected.has_ended()) expected.owner_died = world.now();
+      if (expected.accepted && !expected.has_ended()) expected.owner_killed_at = world.now();
     }
     nodes_[index] = nullptr;
   }
@@ -172,17 +172,17 @@
       const auto& doc = docs_[i];
       accepted += doc.accepted;
       if (!no_loss_allowed_ || !wait_for_copies_ || !doc.accepted || doc.has_ended()) continue;
-      std::string held;
+      std::string holders;
       for (int p = 0; p < world.machines(); ++p)
         if (world.is_running(p))
           for (const auto& [number, one] : nodes_[p]->storage.docs)
             if (one.doc == static_cast<int>(i)) {
-              held += " ";
-              held += std::to_string(p);
-              held += owns(*nodes_[p], one) ? " (owner)" : " (not owner)";
+              holders += " ";
+              holders += std::to_string(p);
+              holders += owns(*nodes_[p], one) ? " (owner)" : " (not owner)";
             }
       world.report_violation("lost", "document %zu was acknowledged at %.0f and has not ended; held by:%s", i,
-                             doc.accepted_at, held.empty() ? " no member" : held.c_str());
+                             doc.accepted_at, holders.empty() ? " no member" : holders.c_str());
     }
     if (world.faults().empty() && accepted * 20 < static_cast<int>(docs_.size()) * 19)
       world.report_violation("taken", "%d of %zu documents were accepted in a run without faults", accepted,
@@ -200,7 +200,7 @@
 
  private:
   struct ExpectedDocument {
-    Millis at = 0, expiry = 0, accepted_at = 0, owner_died = -1;
+    Millis at = 0, expiry = 0, accepted_at = 0, owner_killed_at = -1;
     int index = 0;
     bool non_repeatable = false, accepted = false, rejected = false, delivered = false, end_recorded = false;
     std::string reported_end;
@@ -217,19 +217,21 @@
 
   // True where kills don't overlap and no link is cut and no process stalled around any of them.
   bool kills_are_isolated(const World& world) const {
-    Millis free = 0;
+    Millis next_kill_from = 0;
     int permanent_kills = 0;
     for (const auto& kill : world.faults()) {
       if (kill.kind != Fault::Kind::kill) continue;
-      if (kill.at < free) return false;
+      if (kill.at < next_kill_from) return false;
       auto until = (kill.until < 0 ? kill.at : kill.until) + replica_recovery_time;
       permanent_kills += kill.until < 0;
       if (world.config().members - permanent_kills < 3) until = world.config().end;
-      free = until;
+      next_kill_from = until;
       for (const auto& other : world.faults()) {
         using Kind = Fault::Kind;
-        bool stops = other.kind == Kind::cut || other.kind == Kind::partition || other.kind == Kind::stall;
-        if (stops && other.at < until && other.until > kill.at - quiet_before_kill) return false;
+        bool interrupts_messages =
+            other.kind == Kind::cut || other.kind == Kind::partition || other.kind == Kind::stall;
+        if (interrupts_messages && other.at < until && other.until > kill.at - quiet_before_kill)
+          return false;
       }
     }
     return true;
@@ -410,8 +412,8 @@
   void record_end(World& world, int number) {
     auto& expected = docs_[number];
     if (std::exchange(expected.end_recorded, true)) return;
-    if (options_.samples && expected.owner_died >= 0 && kills_only_)
-      samples_["ms from a kill to an owed document's end"].push_back(world.now() - expected.owner_died);
+    if (options_.samples && expected.owner_killed_at >= 0 && kills_only_)
+      samples_["ms from a kill to an owed document's end"].push_back(world.now() - expected.owner_killed_at);
   }
 
   void apply_actions(World& world, int index, const Custody::Actions& actions) {
@@ -464,8 +466,8 @@
     world.trace_line("member %d %s document %d with %zu transmissions in doubt", index,
                      taken_over ? "takes over" : "resumes", doc.doc, state.in_doubt.size());
     check_sole_owner(world, index, doc.doc, taken_over ? "takes over" : "resumes");
-    if (taken_over && options_.samples && kills_only_ && expected.owner_died >= 0)
-      samples_["ms from a kill to a take-over"].push_back(world.now() - expected.owner_died);
+    if (taken_over && options_.samples && kills_only_ && expected.owner_killed_at >= 0)
+      samples_["ms from a kill to a take-over"].push_back(world.now() - expected.owner_killed_at);
     schedule_processing(world, index, number);
   }
 
--- a/src/model/faults.cpp
+++ b/src/model/faults.cpp
@@ -33,43 +33,47 @@
   if (kind == Kind::partition) return partition_of[from] != partition_of[to];
   if (kind != Kind::cut) return false;
   if (flap_period > 0 && static_cast<long long>(std::floor((now - at) / flap_period)) % 2 != 0) return false;
-  auto one = [&](int a, int b) { return contains(members, a) && (peers.empty() || contains(peers, b)); };
-  return one(from, to) || (both_ways && one(to, from));
+  auto cuts = [&](int a, int b) { return contains(members, a) && (peers.empty() || contains(peers, b)); };
+  return cuts(from, to) || (both_ways && cuts(to, from));
 }
 
 std::string Fault::describe() const {
   char line[240];
   auto a = member_list(members), b = member_list(peers);
-  auto text = [&](const char* format, auto... values) {
+  auto format_line = [&](const char* format, auto... values) {
     std::snprintf(line, sizeof line, format, values...);
   };
   switch (kind) {
     case Kind::cut:
-      text("%.1f to %.1f: links %s of %s to %s%s%s", at, until, both_ways ? "both ways" : "one way",
-           a.c_str(), b.c_str(), flap_period > 0 ? " cut, toggled at intervals of ms: " : " cut",
-           flap_period > 0 ? std::to_string(static_cast<int>(flap_period)).c_str() : "");
+      format_line("%.1f to %.1f: links %s of %s to %s%s%s", at, until, both_ways ? "both ways" : "one way",
+                  a.c_str(), b.c_str(), flap_period > 0 ? " cut, toggled at intervals of ms: " : " cut",
+                  flap_period > 0 ? std::to_string(static_cast<int>(flap_period)).c_str() : "");
       break;
     case Kind::partition: {
-      std::string map;
+      std::string partitions;
       for (std::size_t i = 0; i < partition_of.size() && i < 40; ++i)
-        map += static_cast<char>('0' + partition_of[i]);
-      text("%.1f to %.1f: partition %s", at, until, map.c_str());
+        partitions += static_cast<char>('0' + partition_of[i]);
+      format_line("%.1f to %.1f: partition %s", at, until, partitions.c_str());
       break;
     }
-    case Kind::reset: text("%.1f: connections of %s to %s reset", at, a.c_str(), b.c_str()); break;
+    case Kind::reset: format_line("%.1f: connections of %s to %s reset", at, a.c_str(), b.c_str()); break;
     case Kind::kill:
-      text("%.1f: %s killed%s, restarted at %.1f with its storage %s", at, a.c_str(),
-           abrupt ? " abruptly" : "", until,
-           storage == StorageOnRestart::kept       ? "kept"
-           : storage == StorageOnRestart::outdated ? "outdated"
-                                                   : "emptied");
+      format_line("%.1f: %s killed%s, restarted at %.1f with its storage %s", at, a.c_str(),
+                  abrupt ? " abruptly" : "", until,
+                  storage == StorageOnRestart::kept       ? "kept"
+                  : storage == StorageOnRestart::outdated ? "outdated"
+                                                          : "emptied");
+      break;
+    case Kind::stall: format_line("%.1f to %.1f: %s stalled", at, until, a.c_str()); break;
+    case Kind::duplicate_process:
+      format_line("%.1f to %.1f: duplicate process of %s", at, until, a.c_str());
       break;
-    case Kind::stall: text("%.1f to %.1f: %s stalled", at, until, a.c_str()); break;
-    case Kind::duplicate_process: text("%.1f to %.1f: duplicate process of %s", at, until, a.c_str()); break;
     case Kind::delay:
-      text("%.1f to %.1f: %.1f ms longer from %s to %s", at, until, delta, a.c_str(), b.c_str());
+      format_line("%.1f to %.1f: %.1f ms longer from %s to %s", at, until, delta, a.c_str(), b.c_str());
+      break;
+    case Kind::wall_clock_jump:
+      format_line("%.1f: wall clock of %s jumps by %.1f", at, a.c_str(), delta);
       break;
-    case Kind::wall_clock_jump: text("%.1f: wall clock of %s jumps by %.1f", at, a.c_str(), delta); break;
   }
   return line;
 }
@@ -97,9 +101,9 @@
       !links_only && category < profile.single_link_share + profile.kills_only_share && profile.kills;
   int n = config.members;
   int count = 1 + random.uniform_below(std::max(1, profile.max_faults));
-  auto other = [&](int member) { return (member + 1 + random.uniform_below(n - 1)) % n; };
+  auto draw_peer = [&](int member) { return (member + 1 + random.uniform_below(n - 1)) % n; };
   // Faults of the same process don't overlap.
-  std::vector<Millis> free_from(n, 0);
+  std::vector<Millis> next_fault_from(n, 0);
   Millis next_kill_from = 0;
   std::vector<Millis> starts;
   for (int i = 0; i < count; ++i)
@@ -115,7 +119,7 @@
     fault.members = {member};
     double drawn = kills_only ? 0.7 : random.uniform();
     if (links_only) {
-      fault.kind = Kind::cut, fault.peers = {other(member)}, fault.both_ways = random.bernoulli(0.5);
+      fault.kind = Kind::cut, fault.peers = {draw_peer(member)}, fault.both_ways = random.bernoulli(0.5);
       if (random.bernoulli(0.3)) fault.flap_period = random.between(20, 1500);
       // One pair only: a second broken link could leave a member without an indirect path.
       faults.assign(1, fault);
@@ -123,10 +127,10 @@
     }
     if (drawn < 0.30) {
       fault.kind = Kind::cut, fault.both_ways = random.bernoulli(0.5);
-      if (random.bernoulli(0.4)) fault.peers = {other(member)};
+      if (random.bernoulli(0.4)) fault.peers = {draw_peer(member)};
       else if (n > 3 && random.bernoulli(0.5))
         for (int k = 1 + random.uniform_below(n / 2); k > 0; --k) {
-          int to = other(member);
+          int to = draw_peer(member);
           if (!contains(fault.peers, to)) fault.peers.push_back(to);
         }
       if (random.bernoulli(0.3)) fault.flap_period = random.between(20, 1500);
@@ -137,10 +141,10 @@
         fault.partition_of.push_back(static_cast<std::uint8_t>(random.uniform_below(partition_count)));
     } else if (drawn < 0.48) {
       fault.kind = Kind::reset;
-      if (random.bernoulli(0.5)) fault.peers = {other(member)};
+      if (random.bernoulli(0.5)) fault.peers = {draw_peer(member)};
     } else if (drawn < 0.56) {
       fault.kind = Kind::delay, fault.delta = random.between(5, 400);
-      if (random.bernoulli(0.5)) fault.peers = {other(member)};
+      if (random.bernoulli(0.5)) fault.peers = {draw_peer(member)};
     } else {
       bool kill = profile.kills && (drawn < 0.80 || !profile.stalls);
       if (drawn > 0.97 && profile.duplicate_processes) fault.kind = Kind::duplicate_process;
@@ -157,12 +161,12 @@
         if (random.bernoulli(profile.permanent_kill_share)) fault.until = -1;
       } else if (profile.stalls) fault.kind = Kind::stall;
       else continue;
-      if (fault.at < free_from[member]) continue;
+      if (fault.at < next_fault_from[member]) continue;
       if (fault.kind == Kind::kill && profile.one_kill_at_a_time && !config.overlapping_kills) {
         if (fault.at < next_kill_from) continue;
         next_kill_from = (fault.until < 0 ? fault.at : fault.until) + profile.min_kill_gap;
       }
-      free_from[member] = fault.until < 0 ? config.end : fault.until + 100;
+      next_fault_from[member] = fault.until < 0 ? config.end : fault.until + 100;
     }
     faults.push_back(fault);
   }
--- a/src/model/latest.cpp
+++ b/src/model/latest.cpp
@@ -1,8 +1,8 @@
 // Workload of the log per key. Invariants, also with clocks minutes apart or jumping: logs converge to one
 // latest document per key, no subscriber gets an older version after a newer one, a subscriber that joins
-// late gets all keys, and no two members have the same duty. The log runs on files in memory; deliveries are
-// sent after a random delay and take a random time. The checks track themselves what a subscriber has
-// received and don't read the module's positions.
+// late gets all keys, and no two members have the delivery lease of the same subscription. The log runs on
+// files in memory; deliveries are sent after a random delay and take a random time. The checks track
+// themselves what a subscriber has received and don't read the module's positions.
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -30,7 +30,7 @@
 
 class MemoryFiles final : public peer::FileSystem {
  public:
-  explicit MemoryFiles(std::shared_ptr<FileContents> held) : contents_(std::move(held)) {}
+  explicit MemoryFiles(std::shared_ptr<FileContents> contents) : contents_(std::move(contents)) {}
   std::vector<std::string> list() override {
     std::vector<std::string> names;
     for (const auto& [name, bytes] : *contents_) names.push_back(name);
@@ -170,50 +170,51 @@
       int holder = -1;
       for (int i = 0; i < world.machines(); ++i) {
         if (!world.is_running(i) || !nodes_[i] || !nodes_[i]->log) continue;
-        bool has = nodes_[i]->log->module().has_delivery_lease({stream, subscriber}, world.local_time(i)) ||
-                   (options_.injected_fault == "duty-always" && world.now() > 9000);
-        if (has && holder >= 0)
+        bool has_lease =
+            nodes_[i]->log->module().has_delivery_lease({stream, subscriber}, world.local_time(i)) ||
+            (options_.injected_fault == "duty-always" && world.now() > 9000);
+        if (has_lease && holder >= 0)
           world.report_violation("two-duties", "members %d and %d both have the duty for subscriber %llu",
                                  holder, i, static_cast<unsigned long long>(subscriber));
-        if (has) holder = i;
+        if (has_lease) holder = i;
       }
     }
     if (!options_.samples || !fault_free_) return;
     for (auto it = unreplicated_.begin(); it != unreplicated_.end();) {
-      bool all = true;
-      for (int i = 0; i < world.machines() && all; ++i) {
+      bool held_by_all = true;
+      for (int i = 0; i < world.machines() && held_by_all; ++i) {
         auto held = nodes_[i]->log->module().newest_timestamp(stream, it->key);
-        all = held && *held >= it->stamp;
+        held_by_all = held && *held >= it->stamp;
       }
-      if (all) samples_["ms until a record is held by all, to 100"].push_back(world.now() - it->at);
-      it = all ? unreplicated_.erase(it) : std::next(it);
+      if (held_by_all) samples_["ms until a record is held by all, to 100"].push_back(world.now() - it->at);
+      it = held_by_all ? unreplicated_.erase(it) : std::next(it);
     }
   }
 
   void check_final(World& world) override {
-    int first = -1;
+    int first_index = -1;
     for (int i = 0; i < world.machines() && !clocks_exceed_limit_; ++i) {
       if (!world.is_running(i)) continue;
-      if (first < 0) first = i;
+      if (first_index < 0) first_index = i;
       auto digest = [&](int index) {
         return nodes_[index]->log->module().digest(stream) +
-               (options_.injected_fault == "logs-differ" && index == first);
+               (options_.injected_fault == "logs-differ" && index == first_index);
       };
-      if (digest(i) != digest(first))
-        world.report_violation("converge", "members %d and %d hold different logs", first, i);
-      for (const auto& [key, stamp] : newest_) {
+      if (digest(i) != digest(first_index))
+        world.report_violation("converge", "members %d and %d hold different logs", first_index, i);
+      for (const auto& [key, stamp] : newest_accepted_) {
         auto held = nodes_[i]->log->module().newest_timestamp(stream, key);
         if (storage_kept_ && (!held || *held < stamp))
-          world.report_violation("lost", "member %d lacks the newest version of key %d", i, keys_[key]);
+          world.report_violation("lost", "member %d lacks the newest version of key %d", i,
+                                 key_numbers_[key]);
       }
     }
     for (auto subscriber : settings_.streams[0].subscribers)
-      for (const auto& [key, number] : keys_) {
-        if (first < 0 || clocks_exceed_limit_) break;
-        auto held = nodes_[first]->log->module().newest_timestamp(stream, key);
-        auto received_stamps = received_stamps_[subscriber].find(key);
-        if (held &&
-            (received_stamps == received_stamps_[subscriber].end() || received_stamps->second < *held))
+      for (const auto& [key, number] : key_numbers_) {
+        if (first_index < 0 || clocks_exceed_limit_) break;
+        auto held = nodes_[first_index]->log->module().newest_timestamp(stream, key);
+        auto received_stamp = received_stamps_[subscriber].find(key);
+        if (held && (received_stamp == received_stamps_[subscriber].end() || received_stamp->second < *held))
           world.report_violation("complete", "subscriber %llu lacks the newest version of key %d",
                                  static_cast<unsigned long long>(subscriber), number);
       }
@@ -221,7 +222,7 @@
     auto size = std::to_string(world.config().members) + " members" + (fault_free_ ? "" : ", under faults");
     if (fault_free_ && join_time_ > 0)
       samples_["documents a key for one that joins late"].push_back(
-          static_cast<double>(to_joiner_) /
+          static_cast<double>(deliveries_to_joiner_) /
           static_cast<double>(std::max<std::size_t>(1, joiner_keys_.size())));
     samples_["deliveries repeated, of 1000"].push_back(1000.0 * repeats_ / std::max(1, received_));
     for (auto& [name, list] : samples_) {
@@ -269,10 +270,10 @@
     try {
       auto stamp = log.append_local(record);
       auto key = peer::key_hash(record.key);
-      keys_[key] = step.key;
+      key_numbers_[key] = step.key;
       world.trace_line("member %d accepts %s of key %d, version %llu.%u", index, record.id.c_str(), step.key,
                        static_cast<unsigned long long>(stamp.wall_time), stamp.counter);
-      auto& newest = newest_[key];
+      auto& newest = newest_accepted_[key];
       newest = std::max(newest, stamp);
       if (fault_free_ && options_.samples) unreplicated_.push_back({key, stamp, world.now()});
     } catch (const fleet::FleetError& error) {
@@ -285,8 +286,8 @@
   void apply_actions(World& world, int index, peer::PersistentLog::Actions& actions) {
     auto& node = *nodes_[index];
     for (const auto& line : actions.log) world.trace_line("member %d logs: %s", index, line.c_str());
-    for (const auto& gone : actions.withdraw)
-      std::erase_if(node.to_send, [&](const auto& one) { return one == gone; });
+    for (const auto& withdrawn : actions.withdraw)
+      std::erase_if(node.to_send, [&](const auto& one) { return one == withdrawn; });
     for (const auto& delivery : actions.deliver) {
       node.to_send.push_back(delivery);
       Step send;
@@ -296,7 +297,7 @@
     }
   }
 
-  // Sends a delivery: the host first asks whether it still has the duty.
+  // Sends a delivery: the host first asks whether it still has the delivery lease.
   void send(World& world, int index, const Step& step) {
     auto& node = *nodes_[index];
     auto found = std::find(node.to_send.begin(), node.to_send.end(), step.delivery);
@@ -322,32 +323,33 @@
   void received(World& world, const Step& step) {
     auto subscriber = step.delivery.subscription.subscriber;
     auto& received_stamps = received_stamps_[subscriber];
-    auto [at, inserted] = received_stamps.try_emplace(step.delivery.key, step.delivery.timestamp);
+    auto [newest_received, inserted] =
+        received_stamps.try_emplace(step.delivery.key, step.delivery.timestamp);
     ++received_;
     if (subscriber == DestinationId{6} && join_time_ > 0) {
-      ++to_joiner_, joiner_keys_.insert(step.delivery.key);
+      ++deliveries_to_joiner_, joiner_keys_.insert(step.delivery.key);
     }
     if (inserted) return;
-    repeats_ += at->second == step.delivery.timestamp;
-    if (step.delivery.timestamp < at->second)
+    repeats_ += newest_received->second == step.delivery.timestamp;
+    if (step.delivery.timestamp < newest_received->second)
       world.report_violation(
           "taken-back",
           "subscriber %llu gets a version of key %d older than one it already received, from member %d",
-          static_cast<unsigned long long>(subscriber), keys_[step.delivery.key], step.index);
-    at->second = step.delivery.timestamp;
+          static_cast<unsigned long long>(subscriber), key_numbers_[step.delivery.key], step.index);
+    newest_received->second = step.delivery.timestamp;
   }
 
   RunOptions options_;
   latest::LatestSettings settings_;
   std::vector<LatestNode*> nodes_;
   std::vector<Step> steps_;
-  std::map<latest::KeyHash, HybridTimestamp> newest_;
-  std::map<latest::KeyHash, int> keys_;
+  std::map<latest::KeyHash, HybridTimestamp> newest_accepted_;
+  std::map<latest::KeyHash, int> key_numbers_;
   std::map<DestinationId, std::map<latest::KeyHash, HybridTimestamp>> received_stamps_;
   std::vector<UnreplicatedRecord> unreplicated_;
   std::set<latest::KeyHash> joiner_keys_;
   Samples samples_;
-  int accepted_count_ = 0, received_ = 0, repeats_ = 0, to_joiner_ = 0;
+  int accepted_count_ = 0, received_ = 0, repeats_ = 0, deliveries_to_joiner_ = 0;
   bool fault_free_ = false, storage_kept_ = true, limit_fits_clocks_ = true, clocks_exceed_limit_ = false;
   Millis join_time_ = 0;
 };
--- a/src/model/main.cpp
+++ b/src/model/main.cpp
@@ -55,53 +55,54 @@
                                                                                    "prints this text");
   std::uint64_t first = 0, last = 0;
   RunOptions run_options;
-  std::vector<const Part*> chosen;
+  std::vector<const Part*> chosen_parts;
   Samples samples;
   int threads = static_cast<int>(std::max(1u, std::thread::hardware_concurrency()));
   bool keep_going = false, cold_returns = false;
   std::string trace_file;
   try {
-    auto given = options.parse(count, arguments);
-    if (given.count("help")) {
+    auto parsed = options.parse(count, arguments);
+    if (parsed.count("help")) {
       std::printf("%s", options.help().c_str());
       return 0;
     }
-    if (!given.unmatched().empty()) throw BadArguments("unknown argument: '" + given.unmatched()[0] + "'");
-    if (!given.count("seeds")) throw BadArguments("--seeds A..B is required");
-    auto range = given["seeds"].as<std::string>();
+    if (!parsed.unmatched().empty()) throw BadArguments("unknown argument: '" + parsed.unmatched()[0] + "'");
+    if (!parsed.count("seeds")) throw BadArguments("--seeds A..B is required");
+    auto range = parsed["seeds"].as<std::string>();
     auto dots = range.find("..");
     first = parse_whole_number(range.substr(0, dots));
     last = dots == std::string::npos ? first : parse_whole_number(range.substr(dots + 2));
     if (last < first) throw BadArguments("--seeds A..B: B is below A");
-    if (given.count("relays")) {
-      auto relays = parse_whole_number(given["relays"].as<std::string>());
-      bool cold = given["part"].as<std::string>() == "cold";
+    if (parsed.count("relays")) {
+      auto relays = parse_whole_number(parsed["relays"].as<std::string>());
+      bool cold = parsed["part"].as<std::string>() == "cold";
       if (cold && (relays < 2 || relays > 900)) throw BadArguments("--relays: 2 to 900");
       if (!cold && (relays < 3 || relays > 300)) throw BadArguments("--relays: 3 to 300");
       run_options.relays = static_cast<int>(relays);
     }
-    if (given.count("threads"))
-      threads = static_cast<int>(parse_whole_number(given["threads"].as<std::string>()));
+    if (parsed.count("threads"))
+      threads = static_cast<int>(parse_whole_number(parsed["threads"].as<std::string>()));
     if (threads < 1 || threads > 256) throw BadArguments("--threads: 1 to 256");
-    auto name = given["part"].as<std::string>();
+    auto name = parsed["part"].as<std::string>();
     for (const auto& part : parts())
-      if (name == "all" || name == part.name) chosen.push_back(&part);
+      if (name == "all" || name == part.name) chosen_parts.push_back(&part);
     cold_returns = name == "all" || name == "cold";
-    if (chosen.empty() && !cold_returns) throw BadArguments("--part: unknown part: '" + name + "'");
-    if (given.count("plant")) {
-      run_options.injected_fault = given["plant"].as<std::string>();
-      std::erase_if(chosen, [&](const Part* part) {
+    if (chosen_parts.empty() && !cold_returns) throw BadArguments("--part: unknown part: '" + name + "'");
+    if (parsed.count("plant")) {
+      run_options.injected_fault = parsed["plant"].as<std::string>();
+      std::erase_if(chosen_parts, [&](const Part* part) {
         return std::none_of(part->injected_faults.begin(), part->injected_faults.end(),
                             [&](const auto& fault) { return fault.first == run_options.injected_fault; });
       });
       cold_returns = false;
-      if (chosen.empty()) throw BadArguments("--plant: unknown fault: '" + run_options.injected_fault + "'");
+      if (chosen_parts.empty())
+        throw BadArguments("--plant: unknown fault: '" + run_options.injected_fault + "'");
     }
-    if (given.count("figures")) run_options.samples = &samples;
-    keep_going = given.count("on") > 0;
-    if (given.count("trace")) {
-      trace_file = given["trace"].as<std::string>();
-      if (first != last || chosen.size() + cold_returns != 1)
+    if (parsed.count("figures")) run_options.samples = &samples;
+    keep_going = parsed.count("on") > 0;
+    if (parsed.count("trace")) {
+      trace_file = parsed["trace"].as<std::string>();
+      if (first != last || chosen_parts.size() + cold_returns != 1)
         throw BadArguments("--trace needs a single seed and a single part");
     }
   } catch (const std::exception& error) {
@@ -114,7 +115,7 @@
     return file.flush() ? 0 : 2;
   }
   if (!trace_file.empty()) {
-    auto result = run_seed(*chosen[0], first, run_options, true);
+    auto result = run_seed(*chosen_parts[0], first, run_options, true);
     std::ofstream file(trace_file, std::ios::binary);
     file << result.trace;
     if (!file.flush()) {
@@ -122,24 +123,24 @@
                    trace_file.c_str());
       return 2;
     }
-    std::printf("%s seed %llu: %s, digest %016llx\n", chosen[0]->name.c_str(),
+    std::printf("%s seed %llu: %s, digest %016llx\n", chosen_parts[0]->name.c_str(),
                 static_cast<unsigned long long>(first),
                 result.holds ? "holds" : (result.check + ": " + result.details).c_str(),
                 static_cast<unsigned long long>(result.digest));
     return result.holds ? 0 : 1;
   }
   bool holds = true;
-  for (const auto* part : chosen) {
+  for (const auto* part : chosen_parts) {
     std::uint64_t runs = 0, events = 0, digest = 0;
-    std::map<std::string, std::pair<int, RunResult>> broken;
+    std::map<std::string, std::pair<int, RunResult>> failures;
     run_seeds(*part, first, last, run_options, threads, [&](const RunResult& result) {
       ++runs, events += result.events, digest = hash_values(digest, result.digest);
       if (result.holds) return true;
-      auto& [times, first_seen] = broken[result.check];
-      if (times++ == 0) first_seen = result;
+      auto& [failed_runs, first_failure] = failures[result.check];
+      if (failed_runs++ == 0) first_failure = result;
       return keep_going;
     });
-    for (const auto& [check, found] : broken) {
+    for (const auto& [check, found] : failures) {
       holds = false;
       auto shrunk = shrink(*part, found.second, run_options);
       std::printf("broken: %s seed %llu, %s: %s\n", part->name.c_str(),
@@ -150,7 +151,7 @@
     }
     std::printf("%s: %llu runs, %llu events, digest %016llx, %s\n", part->name.c_str(),
                 static_cast<unsigned long long>(runs), static_cast<unsigned long long>(events),
-                static_cast<unsigned long long>(digest), broken.empty() ? "all hold" : "BROKEN");
+                static_cast<unsigned long long>(digest), failures.empty() ? "all hold" : "BROKEN");
     std::fflush(stdout);
   }
   if (cold_returns) holds &= run_cold_returns(first, last, run_options.relays, threads, keep_going);
--- a/src/model/membership.cpp
+++ b/src/model/membership.cpp
@@ -1,6 +1,6 @@
 // Workload of membership. Invariants: no member is falsely declared dead where only the link between two
 // members breaks, no false death remains after the faults end, deaths are detected in time, a stalled process
-// is told that it was declared dead, and the message rate per member is bounded. The checks use only the
+// is notified that it was declared dead, and the message rate per member is bounded. The checks use only the
 // module's outputs.
 #include <algorithm>
 #include <cmath>
@@ -26,29 +26,31 @@
 // Wraps a membership module and alters its outputs: each injected fault has to be found by a check.
 class FaultInjectingMembership : public fleet::Membership {
  public:
-  FaultInjectingMembership(std::unique_ptr<fleet::Membership> real, std::string injected_fault,
+  FaultInjectingMembership(std::unique_ptr<fleet::Membership> wrapped, std::string injected_fault,
                            const fleet::Roster& roster, fleet::MemberId self)
-      : real_(std::move(real)),
+      : wrapped_(std::move(wrapped)),
         injected_fault_(std::move(injected_fault)),
-        first_(roster[0].id),
+        first_member_(roster[0].id),
         self_(self) {}
   void begin_turn(Millis now) override {
     if (first_turn_at_ < 0) first_turn_at_ = now;
     now_ = now;
-    real_->begin_turn(now);
+    wrapped_->begin_turn(now);
   }
   void on_message(fleet::MemberId from, const fleet::MembershipMessage& message) override {
-    real_->on_message(from, message);
+    wrapped_->on_message(from, message);
   }
   void on_link_change(fleet::MemberId peer, Incarnation incarnation, bool up) override {
-    real_->on_link_change(peer, incarnation, up);
+    wrapped_->on_link_change(peer, incarnation, up);
   }
   Actions decide() override {
-    auto actions = real_->decide();
+    auto actions = wrapped_->decide();
     if (injected_fault_ == "deaths-unseen")
       std::erase_if(actions.changes, [](const auto& change) { return change.state == MemberState::dead; });
-    if (injected_fault_ == "false-death" && !injected_ && now_ - first_turn_at_ > 6000 && self_ != first_)
-      injected_ = true, actions.changes.push_back({first_, real_->incarnation(first_), MemberState::dead});
+    if (injected_fault_ == "false-death" && !injected_ && now_ - first_turn_at_ > 6000 &&
+        self_ != first_member_)
+      injected_ = true,
+      actions.changes.push_back({first_member_, wrapped_->incarnation(first_member_), MemberState::dead});
     if (injected_fault_ == "chatter" && !actions.sends.empty())
       for (int i = 0; i < 30; ++i) actions.sends.push_back(actions.sends[0]);
     if (injected_fault_ == "not-told") actions.declared_dead = false;
@@ -57,17 +59,17 @@
         change.incarnation.number = std::min(change.incarnation.number, first_incarnation(change));
     return actions;
   }
-  MemberState state(fleet::MemberId member) const override { return real_->state(member); }
-  Incarnation incarnation(fleet::MemberId member) const override { return real_->incarnation(member); }
-  std::vector<fleet::MemberId> alive() const override { return real_->alive(); }
+  MemberState state(fleet::MemberId member) const override { return wrapped_->state(member); }
+  Incarnation incarnation(fleet::MemberId member) const override { return wrapped_->incarnation(member); }
+  std::vector<fleet::MemberId> alive() const override { return wrapped_->alive(); }
 
  private:
   std::uint64_t first_incarnation(const Change& change) {
     return first_incarnations_.emplace(change.member, change.incarnation.number).first->second;
   }
-  std::unique_ptr<fleet::Membership> real_;
+  std::unique_ptr<fleet::Membership> wrapped_;
   std::string injected_fault_;
-  fleet::MemberId first_, self_;
+  fleet::MemberId first_member_, self_;
   Millis now_ = 0, first_turn_at_ = -1;
   bool injected_ = false;
   std::map<fleet::MemberId, std::uint64_t> first_incarnations_;
@@ -78,8 +80,8 @@
   explicit MembershipWorkload(const RunOptions& options) : options_(options) {}
 
   void begin(World& world) override {
-    views_.resize(world.machines());
-    for (auto& view : views_) view.peer_views.resize(world.config().members);
+    member_views_.resize(world.machines());
+    for (auto& view : member_views_) view.peer_views.resize(world.config().members);
     message_windows_.resize(world.machines());
     kills_only_ = std::all_of(world.faults().begin(), world.faults().end(),
                               [](const Fault& fault) { return fault.kind == Fault::Kind::kill; });
@@ -90,8 +92,8 @@
   std::unique_ptr<Process> boot(World& world, int index, const std::any&, Millis) override {
     auto& machine = world.machine(index);
     auto self = world.roster()[machine.member].id;
-    views_[index].peer_views.assign(world.config().members, {});
-    views_[index].told_declared_dead = false;
+    member_views_[index].peer_views.assign(world.config().members, {});
+    member_views_[index].notified_declared_dead = false;
     auto membership = fleet::Membership::make(world.roster(), self, machine.incarnation,
                                               hash_values(world.seed(), 0x41, index, machine.boots));
     if (!options_.injected_fault.empty())
@@ -110,15 +112,16 @@
   }
 
   void check(World& world) override {
-    // A process that others declared dead during a stall has to be told; evaluated when it resumes.
+    // A process that others declared dead during a stall has to be notified; evaluated when it resumes.
     for (int i = 0; i < world.machines(); ++i) {
       auto state = world.machine(i).state;
-      if (state == Machine::State::stalled) views_[i].stalled = true;
-      else if (state == Machine::State::running && views_[i].stalled) {
-        views_[i].stalled = false;
-        if (count_holding_dead(world, i) > 0)
-          views_[i].must_be_told = true, views_[i].told_declared_dead = false;
-      } else if (state == Machine::State::off) views_[i].stalled = views_[i].must_be_told = false;
+      if (state == Machine::State::stalled) member_views_[i].stalled = true;
+      else if (state == Machine::State::running && member_views_[i].stalled) {
+        member_views_[i].stalled = false;
+        if (count_considering_dead(world, i) > 0)
+          member_views_[i].must_be_notified = true, member_views_[i].notified_declared_dead = false;
+      } else if (state == Machine::State::off)
+        member_views_[i].stalled = member_views_[i].must_be_notified = false;
     }
     for (const auto& [member, death] : deaths_) {
       if (!kills_only_ || world.is_running(member) ||
@@ -126,11 +129,11 @@
         continue;
       for (int i = 0; i < world.machines(); ++i)
         if (world.is_running(i) && i != member && world.machine(i).booted < death.at &&
-            views_[i].peer_views[member].peer_state != MemberState::dead &&
-            views_[i].peer_views[member].incarnation <= death.incarnation)
+            member_views_[i].peer_views[member].peer_state != MemberState::dead &&
+            member_views_[i].peer_views[member].incarnation <= death.incarnation)
           world.report_violation("death-found",
                                  "member %d ended at %.0f, and member %d still considers it %s", member,
-                                 death.at, i, state_name(views_[i].peer_views[member].peer_state));
+                                 death.at, i, state_name(member_views_[i].peer_views[member].peer_state));
     }
     if (world.faults().empty() && world.now() > last_start_ + formation_time) check_views(world, "formed");
   }
@@ -138,7 +141,8 @@
   void check_final(World& world) override {
     if (world.config().end >= world.config().faults_until + settle_time) check_views(world, "healed");
     for (int i = 0; i < world.machines(); ++i)
-      if (world.is_running(i) && views_[i].must_be_told && !views_[i].told_declared_dead)
+      if (world.is_running(i) && member_views_[i].must_be_notified &&
+          !member_views_[i].notified_declared_dead)
         world.report_violation("told-given-up",
                                "member %d stalled, was declared dead by others, and was not told", i);
     if (!options_.samples) return;
@@ -151,10 +155,10 @@
     for (auto time : detection_times_)
       (*options_.samples)["ms until one member knows of a death, " + size].push_back(time);
     for (const auto& [member, death] : deaths_)
-      if (kills_only_ && !death.known.empty() &&
-          static_cast<int>(death.known.size()) >= world.config().members - 2)
+      if (kills_only_ && !death.detection_delays.empty() &&
+          static_cast<int>(death.detection_delays.size()) >= world.config().members - 2)
         (*options_.samples)["ms until all know of a death, " + size].push_back(
-            *std::max_element(death.known.begin(), death.known.end()));
+            *std::max_element(death.detection_delays.begin(), death.detection_delays.end()));
   }
 
  private:
@@ -162,14 +166,14 @@
     MemberState peer_state = MemberState::unknown;
     Incarnation incarnation;
   };
-  struct View {
+  struct MemberView {
     std::vector<PeerView> peer_views;
-    bool stalled = false, must_be_told = false, told_declared_dead = false;
+    bool stalled = false, must_be_notified = false, notified_declared_dead = false;
   };
   struct Death {
     Millis at = 0;
     Incarnation incarnation;
-    std::vector<Millis> known;
+    std::vector<Millis> detection_delays;
   };
 
   static const char* state_name(MemberState peer_state) {
@@ -182,21 +186,21 @@
     return "?";
   }
 
-  int count_holding_dead(World& world, int index) {
+  int count_considering_dead(World& world, int index) {
     int count = 0, member = world.machine(index).member;
     for (int i = 0; i < world.machines(); ++i)
       count += world.is_running(i) && i != index &&
-               views_[i].peer_views[member].peer_state == MemberState::dead &&
-               views_[i].peer_views[member].incarnation == world.machine(index).incarnation &&
+               member_views_[i].peer_views[member].peer_state == MemberState::dead &&
+               member_views_[i].peer_views[member].incarnation == world.machine(index).incarnation &&
                world.can_reach(i, index);
     return count;
   }
 
   void check_actions(World& world, int index, const fleet::Membership::Actions& actions) {
-    auto& view = views_[index];
+    auto& view = member_views_[index];
     for (const auto& line : actions.log) world.trace_line("member %d logs: %s", index, line.c_str());
     if (actions.declared_dead) {
-      view.told_declared_dead = true;
+      view.notified_declared_dead = true;
       world.trace_line("member %d learns that it was declared dead", index);
     }
     for (const auto& change : actions.changes) {
@@ -214,7 +218,7 @@
         auto death = deaths_.find(member);
         if (death != deaths_.end() && death->second.incarnation == change.incarnation &&
             world.machine(index).booted < death->second.at)
-          death->second.known.push_back(world.now() - death->second.at),
+          death->second.detection_delays.push_back(world.now() - death->second.at),
               detection_times_.push_back(world.now() - death->second.at);
       }
     }
@@ -234,28 +238,30 @@
       auto& process = static_cast<MemberProcess&>(*world.machine(i).process);
       for (int j = 0; j < world.config().members; ++j) {
         if (j == world.machine(i).member) continue;
-        const auto& held = views_[i].peer_views[j];
+        const auto& peer_view = member_views_[i].peer_views[j];
         bool is_running = world.is_running(j);
         auto reported = process.membership().state(world.roster()[j].id);
-        if (reported != held.peer_state)
+        if (reported != peer_view.peer_state)
           world.report_violation("told-changes",
                                  "member %d returns state %s for member %d, and last reported %s", i,
-                                 state_name(reported), j, state_name(held.peer_state));
-        if (is_running &&
-            (held.peer_state != MemberState::alive || held.incarnation != world.machine(j).incarnation))
+                                 state_name(reported), j, state_name(peer_view.peer_state));
+        if (is_running && (peer_view.peer_state != MemberState::alive ||
+                           peer_view.incarnation != world.machine(j).incarnation))
           world.report_violation(
               check, "member %d considers member %d, which runs in incarnation %llu, %s in incarnation %llu",
               i, j, static_cast<unsigned long long>(world.machine(j).incarnation.number),
-              state_name(held.peer_state), static_cast<unsigned long long>(held.incarnation.number));
-        if (!is_running && held.peer_state != MemberState::dead && held.peer_state != MemberState::unknown)
+              state_name(peer_view.peer_state),
+              static_cast<unsigned long long>(peer_view.incarnation.number));
+        if (!is_running && peer_view.peer_state != MemberState::dead &&
+            peer_view.peer_state != MemberState::unknown)
           world.report_violation(check, "member %d considers member %d, which ended, %s", i, j,
-                                 state_name(held.peer_state));
+                                 state_name(peer_view.peer_state));
       }
     }
   }
 
   RunOptions options_;
-  std::vector<View> views_;
+  std::vector<MemberView> member_views_;
   std::vector<std::pair<Millis, int>> message_windows_;
   std::map<int, Death> deaths_;
   std::vector<double> detection_times_;
--- a/src/model/registers.cpp
+++ b/src/model/registers.cpp
@@ -1,7 +1,8 @@
-// Workload of the shared registers. Invariants: updates reach every member in time, a retry-after wait is
-// never longer than a relay was told and never shorter than known, copies agree after the faults end, the
-// last operator order wins, a restart keeps what was known, and the message rate per member is bounded. The
-// checks observe what a decision module would receive, and don't look at how copies are merged.
+// Workload of the shared registers. Invariants: updates reach every member in time, a retry-after wait
+// ends at other members neither later nor earlier than at the relay that received it, copies agree after the
+// faults end, the last operator order wins, a restarted process keeps the waits that it stored, and the
+// message rate per member is bounded. The checks observe what a decision module would receive, and don't look
+// at how copies are merged.
 #include <algorithm>
 #include <cmath>
 #include <map>
@@ -37,7 +38,7 @@
   bool offline = false;
 };
 
-struct Saved {
+struct StoredRegisters {
   std::vector<RegisterRecord> records;
   Millis at = 0;  // virtual time
 };
@@ -96,15 +97,15 @@
   Millis decide(Outbox& outbox) override {
     auto actions = registers_->decide();
     if (injected_fault_ == "news-lost" && index_ == 0) actions.route_statuses.clear();
-    for (auto& known : actions.route_statuses) {
-      if (injected_fault_ == "wait-longer" && known.retry_after_left > 0) known.retry_after_left += 3000;
-      if (injected_fault_ == "wait-shorter" && known.retry_after_left > 0) known.retry_after_left /= 2;
-      auto& route = routes[static_cast<int>(known.route)];
-      route.learned_end = known.retry_after_left > 0 ? now_ + known.retry_after_left : 0;
-      if (now_ - known.state_age > route.state_seen_at)
-        route.state = known.state, route.state_seen_at = now_ - known.state_age;
-      if (known.rate_limit > 0 && now_ - known.limit_age > route.limit_seen_at)
-        route.rate_limit = known.rate_limit, route.limit_seen_at = now_ - known.limit_age;
+    for (auto& status : actions.route_statuses) {
+      if (injected_fault_ == "wait-longer" && status.retry_after_left > 0) status.retry_after_left += 3000;
+      if (injected_fault_ == "wait-shorter" && status.retry_after_left > 0) status.retry_after_left /= 2;
+      auto& route = routes[static_cast<int>(status.route)];
+      route.learned_end = status.retry_after_left > 0 ? now_ + status.retry_after_left : 0;
+      if (now_ - status.state_age > route.state_seen_at)
+        route.state = status.state, route.state_seen_at = now_ - status.state_age;
+      if (status.rate_limit > 0 && now_ - status.limit_age > route.limit_seen_at)
+        route.rate_limit = status.rate_limit, route.limit_seen_at = now_ - status.limit_age;
     }
     for (const auto& order : actions.offline_orders)
       offline_endpoints[order.endpoint] = order.offline != (injected_fault_ == "order-turned");
@@ -138,7 +139,7 @@
   explicit RegistersWorkload(const RunOptions& options) : options_(options) {}
 
   void begin(World& world) override {
-    views_.resize(world.machines()), last_turn_.resize(world.machines(), 0);
+    node_views_.resize(world.machines()), last_turn_.resize(world.machines(), 0);
     drift_ = world.config().max_clock_drift;
     fault_free_ = world.faults().empty();
     for (const auto& fault : world.faults())
@@ -146,9 +147,10 @@
     RandomSource random(hash_values(world.seed(), 0x43));
     const auto& config = world.config();
     int subjects = 1 + random.uniform_below(20), endpoints = 1 + random.uniform_below(4);
-    // In runs without faults, a subject changes again only when the last change is surely known everywhere.
+    // In runs without faults, a subject changes again only when the last change has certainly reached
+    // all members.
     Millis min_gap = fault_free_ ? 2 * max_spread(world) + 1000 : 0;
-    std::map<std::pair<int, int>, Millis> free_from;
+    std::map<std::pair<int, int>, Millis> next_change_times;
     int count = 10 + random.uniform_below(config.members > 60 ? 30 : 80);
     std::vector<Millis> times;
     for (int i = 0; i < count; ++i) times.push_back(random.between(formation_time, config.faults_until));
@@ -163,9 +165,9 @@
                                         : RegisterKind::rate_limit;
       observation.subject =
           random.uniform_below(observation.kind == RegisterKind::offline ? endpoints : subjects);
-      auto& free = free_from[{static_cast<int>(observation.kind), observation.subject}];
-      if (at < free) continue;
-      free = at + min_gap;
+      auto& next_change_from = next_change_times[{static_cast<int>(observation.kind), observation.subject}];
+      if (at < next_change_from) continue;
+      next_change_from = at + min_gap;
       observation.duration = std::pow(10, random.between(2, 4.7));
       observation.state = static_cast<RouteState>(random.uniform_below(3));
       observation.rate_limit = random.between(10, 1000);
@@ -178,13 +180,13 @@
   std::unique_ptr<Process> boot(World& world, int index, const std::any& stored, Millis) override {
     auto& machine = world.machine(index);
     auto self = world.roster()[machine.member].id;
-    auto& view = views_[index];
+    auto& view = node_views_[index];
     view = NodeView();
     view.booted = world.now();
     auto seed = hash_values(world.seed(), 0x42, index, machine.boots);
     auto registers = fleet::Registers::make(self, machine.incarnation, world.config().members, seed);
     auto node = std::make_unique<RegistersNode>(std::move(registers), options_.injected_fault, index);
-    if (const auto* saved = std::any_cast<Saved>(&stored)) {
+    if (const auto* saved = std::any_cast<StoredRegisters>(&stored)) {
       node->restored = saved->records, node->downtime = world.now() - saved->at;
       for (const auto& record : saved->records)
         if (record.kind == RegisterKind::retry_after) {
@@ -195,7 +197,7 @@
       view.saved_at = saved->at;
     }
     // Once it reports that it has caught up, it has to know the waits that all others know now.
-    for (auto& [subject, truth] : waits_) {
+    for (auto& [subject, waits] : waits_) {
       auto end = latest_wait_end(subject);
       bool known_by_all = end > world.now();
       for (int i = 0; i < world.machines(); ++i)
@@ -215,10 +217,10 @@
   }
 
   std::any storage_snapshot(World& world, int index) override {
-    return Saved{views_[index].node->registers().all_records(),
-                 last_turn_[index] > 0 ? last_turn_[index] : world.now()};
+    return StoredRegisters{node_views_[index].node->registers().all_records(),
+                           last_turn_[index] > 0 ? last_turn_[index] : world.now()};
   }
-  void on_process_end(World&, int index) override { views_[index].node = nullptr; }
+  void on_process_end(World&, int index) override { node_views_[index].node = nullptr; }
 
   void on_timer(World& world, std::uint64_t task) override {
     if (world.is_running(observations_[task].index)) world.enqueue_task(observations_[task].index, task);
@@ -229,7 +231,7 @@
       auto& update = *it;
       // A process that started after the update gets it by catching up instead.
       std::erase_if(update.uninformed,
-                    [&](int i) { return !world.is_running(i) || views_[i].booted > update.at; });
+                    [&](int i) { return !world.is_running(i) || node_views_[i].booted > update.at; });
       if (update.uninformed.empty()) {
         it = pending_updates_.erase(it);
         continue;
@@ -243,7 +245,7 @@
       it = dropped ? pending_updates_.erase(it) : std::next(it);
     }
     for (int i = 0; i < world.machines(); ++i) {
-      auto& view = views_[i];
+      auto& view = node_views_[i];
       if (!world.is_running(i) || !view.node || view.caught_up || !view.node->caught_up()) continue;
       view.caught_up = true;
       if (options_.samples && view.booted > formation_time)
@@ -262,7 +264,7 @@
     int first_index = -1;
     for (int i = 0; i < world.machines(); ++i) {
       if (!world.is_running(i)) continue;
-      auto& node = *views_[i].node;
+      auto& node = *node_views_[i].node;
       if (!node.caught_up()) world.report_violation("caught-up", "member %d has not caught up at the end", i);
       check_offline_orders(world, i);
       auto records = comparable_lines(node.all());
@@ -272,7 +274,7 @@
           if (!ending && !(one == &records ? first : records).count(line))
             world.report_violation("converge", "members %d and %d have different copies, such as %s",
                                    first_index, i, line.c_str());
-      for (const auto& [subject, truth] : waits_) {
+      for (const auto& [subject, waits] : waits_) {
         auto end = latest_wait_end(subject);
         if (end <= world.now() + 500 || !still_known(world, subject, end)) continue;
         if (known_end(world, i, subject) < end - drift_allowance(end, 0))
@@ -281,7 +283,7 @@
                                  subject, end - world.now(), known_end(world, i, subject) - world.now());
       }
       for (const auto& [endpoint, offline] : node.offline_endpoints)
-        if (offline != views_[first_index].node->offline_endpoints[endpoint])
+        if (offline != node_views_[first_index].node->offline_endpoints[endpoint])
           world.report_violation("converge", "members %d and %d have different orders on %s", first_index, i,
                                  endpoint.c_str());
     }
@@ -322,7 +324,7 @@
     Millis at = 0;
     int index = 0;
     bool offline = false;
-    std::set<std::size_t> superseded;  // earlier orders that it replaces, as known at the member that got it
+    std::set<std::size_t> superseded;  // earlier orders that it replaces, of those that the member knew
   };
 
   static int subject_of(const RegisterRecord& record) {
@@ -360,7 +362,7 @@
     return end;
   }
   Millis known_end(const World& world, int index, int subject) {
-    auto* node = views_[index].node;
+    auto* node = node_views_[index].node;
     if (!node) return 0;
     auto found = node->routes.find(subject);
     if (found == node->routes.end()) return 0;
@@ -375,7 +377,7 @@
   }
 
   void apply_observation(World& world, int index, const Observation& observation) {
-    auto& node = *views_[index].node;
+    auto& node = *node_views_[index].node;
     auto& route = node.routes[observation.subject];
     PendingUpdate update;
     update.at = world.now(), update.observation = observation, update.index = index;
@@ -420,10 +422,10 @@
         auto after = version_of(node, endpoint);
         if (after != before || !new_here) {
           OfflineOrder order{world.now(), index, observation.offline, {}};
-          auto held = order_by_version_.find(before);
-          if (held != order_by_version_.end()) {
-            order.superseded = offline_orders_[held->second].superseded;
-            order.superseded.insert(held->second);
+          auto previous = order_by_version_.find(before);
+          if (previous != order_by_version_.end()) {
+            order.superseded = offline_orders_[previous->second].superseded;
+            order.superseded.insert(previous->second);
           }
           if (after != before) {
             order_by_version_[after] = offline_orders_.size();
@@ -463,7 +465,7 @@
   }
 
   void check_actions(World& world, int index, const fleet::Registers::Actions& actions) {
-    auto& view = views_[index];
+    auto& view = node_views_[index];
     auto& node = *view.node;
     last_turn_[index] = world.now();
     for (const auto& line : actions.log) world.trace_line("member %d logs: %s", index, line.c_str());
@@ -471,27 +473,27 @@
       world.trace_line("member %d reports a conflict: %s", index, line.c_str());
       if (fault_free_) world.report_violation("differing", "member %d: %s", index, line.c_str());
     }
-    for (const auto& known : actions.route_statuses) {
-      int subject = static_cast<int>(known.route);
+    for (const auto& status : actions.route_statuses) {
+      int subject = static_cast<int>(status.route);
       if (node.routes[subject].learned_end <= 0) continue;
       auto end = world.now() + (node.routes[subject].learned_end - node.now()) / world.machine(index).rate;
-      auto truth = latest_wait_end(subject);
+      auto latest_end = latest_wait_end(subject);
       world.trace_line("member %d expects a wait on %d to end at %.0f", index, subject, end);
       auto begun = waits_.count(subject) ? waits_[subject][0].at : 0;
-      if (options_.samples) samples_["ms by which a wait ends late elsewhere"].push_back(end - truth);
-      if (end > truth + max_lateness(world) + drift_allowance(truth, begun))
+      if (options_.samples) samples_["ms by which a wait ends late elsewhere"].push_back(end - latest_end);
+      if (end > latest_end + max_lateness(world) + drift_allowance(latest_end, begun))
         world.report_violation("wait-longer",
                                "member %d expects a wait on %d to end %.0f ms later than any received", index,
-                               subject, end - truth);
+                               subject, end - latest_end);
     }
     if (view.first_turn) {
       view.first_turn = false;
       for (const auto& [subject, end] : view.restored_waits) {
-        auto known = known_end(world, index, subject);
+        auto known_until = known_end(world, index, subject);
         if (end < world.now() + 5) continue;
-        if (std::abs(known - end) > drift_allowance(end, view.saved_at) + rounding)
+        if (std::abs(known_until - end) > drift_allowance(end, view.saved_at) + rounding)
           world.report_violation("kept", "member %d restarted and its wait on %d ends %.0f ms off", index,
-                                 subject, known - end);
+                                 subject, known_until - end);
       }
     }
     for (auto& update : pending_updates_) {
@@ -520,10 +522,10 @@
     view.messages_in_window += static_cast<int>(actions.sends.size());
     int others = -1;
     for (int i = 0; i < world.machines(); ++i) others += world.machine(i).state != Machine::State::off;
-    int most = others <= small_fleet
-                   ? max_messages_per_peer * std::min(small_fleet, world.config().members - 1)
-                   : max_messages_per_second;
-    if (view.messages_in_window > most)
+    int max_messages = others <= small_fleet
+                           ? max_messages_per_peer * std::min(small_fleet, world.config().members - 1)
+                           : max_messages_per_second;
+    if (view.messages_in_window > max_messages)
       world.report_violation("messages", "member %d sends %d register messages within a second", index,
                              view.messages_in_window);
   }
@@ -549,15 +551,16 @@
   // Checks that no order in force was replaced by a later one that knew of it.
   void check_offline_orders(World& world, int index) {
     if (index < 0) return;
-    auto& node = *views_[index].node;
+    auto& node = *node_views_[index].node;
     for (const auto& [endpoint, offline] : node.offline_endpoints) {
-      auto held = order_by_version_.find(version_of(node, endpoint));
-      if (held == order_by_version_.end()) continue;
-      if (offline_orders_[held->second].offline != offline)
+      auto current = order_by_version_.find(version_of(node, endpoint));
+      if (current == order_by_version_.end()) continue;
+      if (offline_orders_[current->second].offline != offline)
         world.report_violation("order", "member %d applies an order on %s that differs from its record",
                                index, endpoint.c_str());
       for (std::size_t i = 0; i < offline_orders_.size(); ++i) {
-        if (!offline_orders_[i].superseded.count(held->second) || endpoint_of_order_[i] != endpoint) continue;
+        if (!offline_orders_[i].superseded.count(current->second) || endpoint_of_order_[i] != endpoint)
+          continue;
         // A later order may be lost with the member that got it.
         bool lost = false;
         for (const auto& fault : world.faults())
@@ -566,14 +569,14 @@
         if (!lost)
           world.report_violation("order",
                                  "an order on %s of %.0f is in force, though member %d replaced it at %.0f",
-                                 endpoint.c_str(), offline_orders_[held->second].at, offline_orders_[i].index,
-                                 offline_orders_[i].at);
+                                 endpoint.c_str(), offline_orders_[current->second].at,
+                                 offline_orders_[i].index, offline_orders_[i].at);
       }
     }
   }
 
   RunOptions options_;
-  std::vector<NodeView> views_;
+  std::vector<NodeView> node_views_;
   std::vector<Millis> last_turn_;
   std::vector<Observation> observations_;
   std::map<int, std::vector<Wait>> waits_;
@@ -611,8 +614,8 @@
 Part registers_part() {
   Part part;
   part.name = "registers", part.draw_config = draw_config;
-  part.make_workload = [](const RunOptions& order) -> std::unique_ptr<Workload> {
-    return std::make_unique<RegistersWorkload>(order);
+  part.make_workload = [](const RunOptions& options) -> std::unique_ptr<Workload> {
+    return std::make_unique<RegistersWorkload>(options);
   };
   part.fault_profile.fault_free_share = 0.3, part.fault_profile.wall_clock_jumps = true;
   part.injected_faults = {{"news-lost", "spread"},          {"wait-longer", "wait-longer"},
--- a/src/model/run.cpp
+++ b/src/model/run.cpp
@@ -55,23 +55,23 @@
   World world(config, seed, result.faults, *workload, record_trace);
   try {
     world.run();
-  } catch (const InvariantViolation& broken) {
-    result.holds = false, result.check = broken.check, result.details = broken.what();
+  } catch (const InvariantViolation& violation) {
+    result.holds = false, result.check = violation.check, result.details = violation.what();
   }
   result.digest = world.digest(), result.events = world.events(), result.trace = world.trace();
   return result;
 }
 
-RunResult shrink(const Part& part, const RunResult& broken, const RunOptions& options) {
+RunResult shrink(const Part& part, const RunResult& failed, const RunOptions& options) {
   constexpr int max_attempts = 120;
   int attempts = 0;
   RunOptions without_samples = options;
   without_samples.samples = nullptr;
-  RunResult best = broken;
+  RunResult best = failed;
   auto still_fails = [&](const std::vector<Fault>& faults) {
     if (++attempts > max_attempts) return false;
-    auto result = run_seed(part, broken.seed, without_samples, false, &faults);
-    if (result.holds || result.check != broken.check) return false;
+    auto result = run_seed(part, failed.seed, without_samples, false, &faults);
+    if (result.holds || result.check != failed.check) return false;
     best = result;
     return true;
   };
@@ -83,7 +83,7 @@
       shorter |= still_fails(fewer);
     }
   }
-  return run_seed(part, broken.seed, without_samples, true, &best.faults);
+  return run_seed(part, failed.seed, without_samples, true, &best.faults);
 }
 
 std::string failure_report(const RunResult& result) {
@@ -112,9 +112,9 @@
       auto seed = next++;
       if (seed > last || stop) return;
       Samples samples;
-      auto own = options;
-      own.samples = options.samples ? &samples : nullptr;
-      auto result = run_seed(part, seed, own, false);
+      auto seed_options = options;
+      seed_options.samples = options.samples ? &samples : nullptr;
+      auto result = run_seed(part, seed, seed_options, false);
       std::lock_guard lock(mutex);
       ready.emplace(seed, std::pair(std::move(result), std::move(samples)));
       for (auto it = ready.find(next_reported); it != ready.end() && !stop; it = ready.find(next_reported)) {
--- a/src/model/run.h
+++ b/src/model/run.h
@@ -27,7 +27,7 @@
                    const std::vector<Fault>* faults = nullptr);
 
 // Reruns the seed of a failed run and removes every fault without which the same check still fails.
-RunResult shrink(const Part& part, const RunResult& broken, const RunOptions& options);
+RunResult shrink(const Part& part, const RunResult& failed, const RunOptions& options);
 
 // Describes a failed run that recorded its trace: its faults and the last trace lines, without the messages.
 std::string failure_report(const RunResult& result);
--- a/src/model/warm.cpp
+++ b/src/model/warm.cpp
@@ -1,7 +1,7 @@
 // Workload of warming. Invariants: budgets are kept; connections are not opened after warming ends, ahead of
-// waiting documents or where forbidden; handshakes of many new processes spread over endpoints and time; a
-// neighbour with false reports doesn't steer the others. Calls, connections and endpoints are simplified. The
-// checks don't use the lists that the modules exchange.
+// waiting documents or where forbidden; handshakes of many new processes spread over endpoints and time;
+// false reports of one neighbour don't determine which connections the others open. Calls, connections and
+// endpoints are simplified. The checks don't use the lists that the modules exchange.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -41,7 +41,7 @@
   int promoted_endpoint = 0;
   Millis now = 0;
   std::function<void(std::uint64_t)> on_task;
-  std::function<void(Warmer::Actions&, int waiting, int free)> on_actions;
+  std::function<void(Warmer::Actions&, int waiting_documents, int free_slots)> on_actions;
   std::function<void(const warm::WarmupMessage&)> on_warmup_message;
 
   void begin_turn(Millis at) override {
@@ -55,8 +55,8 @@
     if (warmer) warmer->on_link_change(peer, up);
   }
   void on_message(MemberId from, const Payload& message) override {
-    if (const auto* list = std::get_if<warm::WarmupMessage>(&message); list && warmer)
-      warmer->on_message(from, *list);
+    if (const auto* warmup_message = std::get_if<warm::WarmupMessage>(&message); warmup_message && warmer)
+      warmer->on_message(from, *warmup_message);
   }
   void on_declared_dead() override {
     if (warmer) warmer->on_stall();
@@ -64,11 +64,11 @@
   void run_task(std::uint64_t task) override { on_task(task); }
   Millis decide(Outbox& outbox) override {
     if (!warmer) return -1;
-    int waiting = std::exchange(new_calls, 0), free = slots - calls_in_flight;
-    warmer->set_load(waiting, free);
+    int waiting_documents = std::exchange(new_calls, 0), free_slots = slots - calls_in_flight;
+    warmer->set_load(waiting_documents, free_slots);
     warmer->set_state_known(true);
     auto actions = warmer->decide();
-    on_actions(actions, waiting, free);
+    on_actions(actions, waiting_documents, free_slots);
     for (auto& send : actions.sends) {
       if (sends_false_reports && !send.message.is_request) {
         send.message.serving_time = 1e9, send.message.items.clear();
@@ -92,16 +92,16 @@
     RandomSource random(hash_values(world.seed(), 0x71));
     members_.resize(world.machines());
     endpoints_ = 5 + random.uniform_below(150);
-    zipf_ = random.between(0.6, 1.2);
+    zipf_exponent_ = random.between(0.6, 1.2);
     double sum = 0;
     for (int i = 0; i < endpoints_; ++i) {
-      weights_.push_back(sum += std::pow(i + 1, -zipf_));
+      weights_.push_back(sum += std::pow(i + 1, -zipf_exponent_));
       preconnect_forbidden_.push_back(i > 0 && random.bernoulli(0.1)),
           failing_.push_back(i > 0 && random.bernoulli(0.05));
     }
     calls_a_second_ = random.between(5, world.config().members > 30 ? 12 : 40);
     false_reporter_ = random.bernoulli(0.3) ? random.uniform_below(world.config().members) : -1;
-    handshakes_.resize(endpoints_);
+    handshake_times_.resize(endpoints_);
   }
 
   std::unique_ptr<Process> boot(World& world, int index, const std::any&, Millis) override {
@@ -111,18 +111,18 @@
     member = Member();
     auto node = std::make_unique<WarmNode>();
     member.node = node.get();
-    member.newcomer = machine.boots > 1;
+    member.restarted = machine.boots > 1;
     member.warms_up = unit_interval(hash_values(world.seed(), 0x72, index, machine.boots)) < 0.8;
     member.booted = world.now();
     node->sends_false_reports = index == false_reporter_, node->promoted_endpoint = endpoints_ - 1;
     warm::WarmupBudget budget{max_neighbours, max_connections, max_list_size,
                               max_bytes,      warm_up_time,    idle_timeout};
-    if (member.warms_up || !member.newcomer)
+    if (member.warms_up || !member.restarted)
       node->warmer = Warmer::make(world.roster(), self, budget, true,
                                   hash_values(world.seed(), 0x73, index, machine.boots));
     node->on_task = [this, &world, index](std::uint64_t task) { run_step(world, index, steps_[task]); };
-    node->on_actions = [this, &world, index](auto& actions, int waiting, int free) {
-      apply_actions(world, index, actions, waiting, free);
+    node->on_actions = [this, &world, index](auto& actions, int waiting_documents, int free_slots) {
+      apply_actions(world, index, actions, waiting_documents, free_slots);
     };
     // Calls begin at once: a new process serves from its start.
     schedule_next_call(world, index);
@@ -166,16 +166,16 @@
  private:
   struct Member {
     WarmNode* node = nullptr;
-    bool newcomer = false, warms_up = true;
+    bool restarted = false, warms_up = true;
     Millis booted = 0, stalled = 0;
     int opened = 0, opened_to_promoted = 0, handshakes_waited_for = 0, calls = 0;
     int opened_used = 0, opened_unused = 0;
-    std::set<MemberId> asked;
+    std::set<MemberId> asked_neighbours;
   };
   struct Step {
     enum Kind { call, answered, up, idle } kind{};
     int index = 0, boots = 0, endpoint = 0;
-    bool ahead = false;
+    bool preconnected = false;
   };
 
   void schedule_step(World& world, Millis at, Step step) {
@@ -191,11 +191,12 @@
     auto drawn = world.random().uniform() * weights_.back();
     return static_cast<int>(std::lower_bound(weights_.begin(), weights_.end(), drawn) - weights_.begin());
   }
-  void note_use(WarmNode& node, int endpoint) {
+  void record_use(WarmNode& node, int endpoint) {
     if (node.warmer) node.warmer->record_use(ItemKind::endpoint, static_cast<std::uint64_t>(endpoint), 20);
   }
-  void report_fate(WarmNode& node, int endpoint, Warmer::ConnectionEvent fate) {
-    if (node.warmer) node.warmer->on_connection_event(EndpointId{static_cast<std::uint64_t>(endpoint)}, fate);
+  void report_connection_event(WarmNode& node, int endpoint, Warmer::ConnectionEvent event) {
+    if (node.warmer)
+      node.warmer->on_connection_event(EndpointId{static_cast<std::uint64_t>(endpoint)}, event);
   }
 
   void run_step(World& world, int index, const Step& step) {
@@ -207,30 +208,32 @@
         schedule_next_call(world, index);
         auto endpoint = draw_endpoint(world);
         if (preconnect_forbidden_[endpoint] || failing_[endpoint] || node.calls_in_flight >= slots) return;
-        ++node.new_calls, ++node.calls_in_flight, ++calls_[endpoint];
+        ++node.new_calls, ++node.calls_in_flight, ++calls_by_endpoint_[endpoint];
         auto& connections = node.connections[endpoint].idle;
-        bool early = world.now() < member.booted + measurement_time;
-        member.calls += early;
-        Millis took = world.random().between(2, 60);
-        if (connections.empty()) member.handshakes_waited_for += early, took += world.random().between(5, 30);
+        bool is_measured = world.now() < member.booted + measurement_time;
+        member.calls += is_measured;
+        Millis duration = world.random().between(2, 60);
+        if (connections.empty())
+          member.handshakes_waited_for += is_measured, duration += world.random().between(5, 30);
         else {
           if (connections.back().second)
-            report_fate(node, endpoint, Warmer::ConnectionEvent::used), ++member.opened_used;
+            report_connection_event(node, endpoint, Warmer::ConnectionEvent::used), ++member.opened_used;
           connections.pop_back();
         }
-        this->schedule_step(world, world.now() + took, {Step::answered, index, 0, endpoint, false});
+        this->schedule_step(world, world.now() + duration, {Step::answered, index, 0, endpoint, false});
         return;
       }
       case Step::answered:
         --node.calls_in_flight;
-        note_use(node, step.endpoint);
+        record_use(node, step.endpoint);
         idle.push_back({world.now(), false});
         this->schedule_step(world, world.now() + idle_timeout + 1,
                             {Step::idle, index, 0, step.endpoint, false});
         return;
       case Step::up:
-        if (failing_[step.endpoint]) return report_fate(node, step.endpoint, Warmer::ConnectionEvent::failed);
-        report_fate(node, step.endpoint, Warmer::ConnectionEvent::connected);
+        if (failing_[step.endpoint])
+          return report_connection_event(node, step.endpoint, Warmer::ConnectionEvent::failed);
+        report_connection_event(node, step.endpoint, Warmer::ConnectionEvent::connected);
         idle.push_front({world.now(), true});
         this->schedule_step(world, world.now() + idle_timeout + 1,
                             {Step::idle, index, 0, step.endpoint, true});
@@ -242,45 +245,48 @@
             continue;
           }
           if (it->second)
-            report_fate(node, step.endpoint, Warmer::ConnectionEvent::unused), ++member.opened_unused;
+            report_connection_event(node, step.endpoint, Warmer::ConnectionEvent::unused),
+                ++member.opened_unused;
           it = idle.erase(it);
         }
         return;
     }
   }
 
-  void apply_actions(World& world, int index, Warmer::Actions& actions, int waiting, int free) {
+  void apply_actions(World& world, int index, Warmer::Actions& actions, int waiting_documents,
+                     int free_slots) {
     auto& member = members_[index];
     auto& node = *member.node;
     for (const auto& line : actions.log) world.trace_line("member %d logs: %s", index, line.c_str());
     for (const auto& send : actions.sends)
-      if (send.message.is_request) member.asked.insert(send.to);
-    if (options_.injected_fault == "asks-all" && member.newcomer)
-      for (const auto& other : world.roster()) member.asked.insert(other.id);
-    if (static_cast<int>(member.asked.size()) > max_neighbours * 3)
-      world.report_violation("asks", "member %d asks %zu neighbours", index, member.asked.size());
+      if (send.message.is_request) member.asked_neighbours.insert(send.to);
+    if (options_.injected_fault == "asks-all" && member.restarted)
+      for (const auto& other : world.roster()) member.asked_neighbours.insert(other.id);
+    if (static_cast<int>(member.asked_neighbours.size()) > max_neighbours * 3)
+      world.report_violation("asks", "member %d asks %zu neighbours", index, member.asked_neighbours.size());
     if (options_.injected_fault == "opens-much" && !actions.preconnects.empty())
       for (int i = 0; i < 100; ++i)
         actions.preconnects.push_back({EndpointId{static_cast<std::uint64_t>(i % endpoints_)}, 1000});
-    for (const auto& ahead : actions.preconnects) {
-      int endpoint = static_cast<int>(static_cast<std::uint64_t>(ahead.endpoint));
+    for (const auto& preconnect : actions.preconnects) {
+      int endpoint = static_cast<int>(static_cast<std::uint64_t>(preconnect.endpoint));
       if (endpoint < 0 || endpoint >= endpoints_) {
-        node.warmer->on_preconnect_unneeded(ahead.endpoint);
+        node.warmer->on_preconnect_unneeded(preconnect.endpoint);
         continue;
       }
-      if (free <= 0)
+      if (free_slots <= 0)
         world.report_violation("documents-first",
-                               "member %d opens connections ahead with %d documents waiting", index, waiting);
+                               "member %d opens connections ahead with %d documents waiting", index,
+                               waiting_documents);
       if (world.now() > member.booted + 1.05 * warm_up_time + 2000 && world.faults().empty())
         world.report_violation("ends", "member %d opens connections ahead %.0f ms after its start", index,
                                world.now() - member.booted);
       auto& idle = node.connections[endpoint].idle;
-      if (static_cast<int>(idle.size()) >= ahead.max_connections) {
-        node.warmer->on_preconnect_unneeded(ahead.endpoint);
+      if (static_cast<int>(idle.size()) >= preconnect.max_connections) {
+        node.warmer->on_preconnect_unneeded(preconnect.endpoint);
         continue;
       }
       if (preconnect_forbidden_[endpoint]) {
-        node.warmer->on_preconnect_refused(ahead.endpoint);
+        node.warmer->on_preconnect_refused(preconnect.endpoint);
         continue;
       }
       if (++member.opened > max_connections)
@@ -299,22 +305,22 @@
   // Records a handshake opened ahead, and checks their number at one endpoint within a second, over all
   // members.
   void record_handshake(World& world, int endpoint) {
-    auto& times = handshakes_[endpoint];
-    int at_once = options_.injected_fault == "all-at-once" ? 40 : 1;
-    for (int i = 0; i < at_once; ++i) times.push_back(world.now());
+    auto& times = handshake_times_[endpoint];
+    int recorded_count = options_.injected_fault == "all-at-once" ? 40 : 1;
+    for (int i = 0; i < recorded_count; ++i) times.push_back(world.now());
     while (!times.empty() && times.front() < world.now() - 1000) times.pop_front();
-    auto calls_a_second = calls_[endpoint] / std::max(1.0, world.now() / 1000);
-    auto most =
+    auto calls_a_second = calls_by_endpoint_[endpoint] / std::max(1.0, world.now() / 1000);
+    auto max_handshakes =
         random_variation * std::max(endpoint_handshakes_per_second, handshakes_per_call * calls_a_second) +
         10;
-    if (static_cast<double>(times.size()) > most)
+    if (static_cast<double>(times.size()) > max_handshakes)
       world.report_violation("spread", "endpoint %d gets %zu handshakes ahead within a second", endpoint,
                              times.size());
   }
 
   void record_samples(World& world, int index) {
     const auto& member = members_[index];
-    if (!options_.samples || !member.newcomer || world.now() < member.booted + measurement_time ||
+    if (!options_.samples || !member.restarted || world.now() < member.booted + measurement_time ||
         member.calls < 50)
       return;
     std::string name = member.warms_up ? "warmed" : "cold";
@@ -329,11 +335,11 @@
   std::vector<Step> steps_;
   std::vector<double> weights_;
   std::vector<bool> preconnect_forbidden_, failing_;
-  std::vector<std::deque<Millis>> handshakes_;
-  std::map<int, double> calls_;
+  std::vector<std::deque<Millis>> handshake_times_;
+  std::map<int, double> calls_by_endpoint_;
   Samples samples_;
   int endpoints_ = 0, false_reporter_ = -1;
-  double zipf_ = 1, calls_a_second_ = 10;
+  double zipf_exponent_ = 1, calls_a_second_ = 10;
 };
 
 RunConfig draw_config(RandomSource& random, int relays) {
--- a/src/model/world.cpp
+++ b/src/model/world.cpp
@@ -21,9 +21,9 @@
 // As in peer/link.cpp: redials back off, and pings detect a connection that carries nothing.
 constexpr Millis min_redial_delay = 50, max_redial_delay = 1000;
 constexpr Millis min_silence_timeout = 1500, max_silence_timeout = 2200, max_peer_silence = 10000;
-constexpr double handshake_crossings = 4;  // one-way latencies from a dial until its handshake is done
-constexpr Millis max_resend_delay = 300;   // until held messages are resent after a cut
-constexpr double spikes = 0.0005;          // share of messages with a delay spike
+constexpr double handshake_crossings = 4;     // one-way latencies from a dial until its handshake is done
+constexpr Millis max_resend_delay = 300;      // until held messages are resent after a cut
+constexpr double delay_spike_share = 0.0005;  // share of messages with a delay spike
 constexpr Millis max_delay_spike = 60;
 constexpr Millis snapshot_interval = 1000;
 constexpr int max_snapshots = 30;
@@ -246,12 +246,12 @@
 void World::boot(int index, StorageOnRestart storage, Millis downtime) {
   auto& machine = machines_[index];
   if (machine.state != Machine::State::off) return;
-  std::any found;
+  std::any stored;
   if (storage == StorageOnRestart::emptied) machine.last_incarnation = 0;
   else if (!machine.storage_snapshots.empty()) {
     const auto& [at, snapshot] = storage == StorageOnRestart::kept ? machine.storage_snapshots.back()
                                                                    : machine.storage_snapshots.front();
-    machine.last_incarnation = snapshot.first, found = snapshot.second;
+    machine.last_incarnation = snapshot.first, stored = snapshot.second;
     if (storage == StorageOnRestart::outdated) downtime = now_ - at;
   }
   auto number = std::max(static_cast<std::uint64_t>(wall_time(index)), machine.last_incarnation + 1);
@@ -264,8 +264,8 @@
              index < config_.members ? "member" : "duplicate process of member", machine.member,
              static_cast<unsigned long long>(number));
   if (storage == StorageOnRestart::emptied) machine.storage_snapshots.clear();
-  machine.storage_snapshots.push_back({now_, {number, found}});
-  machine.process = workload_.boot(*this, index, found, downtime);
+  machine.storage_snapshots.push_back({now_, {number, stored}});
+  machine.process = workload_.boot(*this, index, stored, downtime);
   turn_states_[index].inbox.clear();
   for (int other = 0; other < machines(); ++other) {
     if (other == index || machines_[other].member == machine.member) continue;
@@ -487,13 +487,13 @@
   arrive(from, std::move(input));
   // The other side learns of the newer incarnation before any message of it, even while its own connection to
   // the older one is up.
-  auto& back = connection_at(to, from);
-  if (back.up && back.incarnation < machines_[from].incarnation) {
-    back.up = false, ++back.generation, back.blocked.clear();
-    auto gone = std::make_shared<Input>();
-    gone->kind = Input::Kind::down, gone->from = from, gone->incarnation = back.incarnation;
-    arrive(to, std::move(gone));
-    back.failures = 0;
+  auto& reverse = connection_at(to, from);
+  if (reverse.up && reverse.incarnation < machines_[from].incarnation) {
+    reverse.up = false, ++reverse.generation, reverse.blocked.clear();
+    auto link_down = std::make_shared<Input>();
+    link_down->kind = Input::Kind::down, link_down->from = from, link_down->incarnation = reverse.incarnation;
+    arrive(to, std::move(link_down));
+    reverse.failures = 0;
     schedule_dial(to, from);
   }
   // Connections of older incarnations of the same member are closed in both directions.
@@ -569,16 +569,16 @@
 // A datagram carries its sender's incarnation. The first one of a newer incarnation reports a restart of the
 // peer; datagrams of older incarnations are dropped.
 bool World::accept_datagram(int from, int to, fleet::Incarnation incarnation) {
-  auto& known = connection_at(from, to).incarnation;
-  if (incarnation < known) return false;
-  if (known.number > 0 && incarnation > known)
+  auto& newest_incarnation = connection_at(from, to).incarnation;
+  if (incarnation < newest_incarnation) return false;
+  if (newest_incarnation.number > 0 && incarnation > newest_incarnation)
     for (bool up : {false, true}) {
       auto input = std::make_shared<Input>();
       input->kind = up ? Input::Kind::up : Input::Kind::down, input->from = from,
-      input->incarnation = up ? incarnation : known;
+      input->incarnation = up ? incarnation : newest_incarnation;
       arrive(to, std::move(input));
     }
-  known = incarnation;
+  newest_incarnation = incarnation;
   return true;
 }
 
--- a/src/model/world.h
+++ b/src/model/world.h
@@ -57,7 +57,7 @@
  public:
   virtual ~Workload() = default;
   virtual void begin(World&) {}
-  virtual std::unique_ptr<Process> boot(World& world, int machine, const std::any& storage,
+  virtual std::unique_ptr<Process> boot(World& world, int machine, const std::any& stored,
                                         Millis downtime) = 0;
   // Returns what the process has on disk now.
   virtual std::any storage_snapshot(World&, int /*machine*/) { return {}; }
@@ -146,8 +146,8 @@
     } kind{};
     Millis at = 0;
     std::uint64_t order = 0;
-    int a = 0, b = 0;
-    std::uint64_t number = 0;
+    int a = 0, b = 0;          // machines; of a connection: from and to
+    std::uint64_t number = 0;  // of the fault, task or generation
     std::shared_ptr<Input> input;
     bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
--- a/tests/model/cold_fleet_test.cpp
+++ b/tests/model/cold_fleet_test.cpp
@@ -23,15 +23,15 @@
 constexpr Millis outage_to = 42000;
 constexpr Millis restart_at = outage_to + 2000;
 
-enum class RestartOfOne { none, forgets, remembers };
-enum class Bound { no_span_over, rule };
+enum class RestartOfOne { none, storage_lost, storage_kept };
+enum class Bound { no_window_over, rule };
 
 struct TestCase {
   OutageKind outage = OutageKind::refuses_connections;
-  bool relays_talk = false;
+  bool relays_gossip = false;
   double idle_share = 0;  // share of relays with no document for the destination during the outage
   RestartOfOne restart = RestartOfOne::none;  // during the return
-  bool turns_away_excess = false;
+  bool rejects_excess = false;
 };
 
 // Draws the traffic, its distribution over the relays, and the capacity of the destination.
@@ -44,7 +44,7 @@
   double documents_per_second = std::exp(draw_uniform(std::log(3), std::log(30)));
   scenario.limit = documents_per_second * draw_uniform(1.0, 1.6);
   scenario.listed_limit = scenario.limit;
-  scenario.limit_knowledge = limits_listed ? LimitKnowledge::listed : LimitKnowledge::no;
+  scenario.limit_knowledge = limits_listed ? LimitKnowledge::listed : LimitKnowledge::unknown;
   scenario.capacity = scenario.limit * draw_uniform(1.15, 1.6);
   scenario.start_capacity = draw_uniform(0.14, 0.31);
   scenario.overload_multiple = draw_uniform(0, 1) < 0.5 ? 2 : 2.5;
@@ -56,23 +56,23 @@
     scenario.idle_during_outage.push_back(i < test_case.idle_share * relays);
   }
   for (double& rate : scenario.relay_rates) rate *= documents_per_second / sum;
-  scenario.rejects_excess = test_case.turns_away_excess;
-  scenario.relays_gossip = test_case.relays_talk;
+  scenario.rejects_excess = test_case.rejects_excess;
+  scenario.relays_gossip = test_case.relays_gossip;
   scenario.outages = {{outage_from, outage_to, test_case.outage}};
   if (test_case.restart != RestartOfOne::none) {
     Restart restart;
     restart.relay = scenario.relay_rates.size() - 1;
     restart.from = restart.to = restart_at;
-    restart.storage_kept = test_case.restart == RestartOfOne::remembers;
+    restart.storage_kept = test_case.restart == RestartOfOne::storage_kept;
     scenario.restarts = {restart};
   }
   return scenario;
 }
 
-std::string describe(const ColdSpan& span) {
-  return std::to_string(span.calls) + " calls, " + std::to_string(span.calls_of_informed_relays) +
-         " of them by relays informed of the outage, of " + std::to_string(span.allowed) + " allowed, " +
-         std::to_string(span.since_return) + " ms after the return";
+std::string describe(const OverloadWindow& window) {
+  return std::to_string(window.calls) + " calls, " + std::to_string(window.calls_of_informed_relays) +
+         " of them by relays informed of the outage, of " + std::to_string(window.allowed) + " allowed, " +
+         std::to_string(window.since_return) + " ms after the return";
 }
 
 // Simulates fleets of each size, with and without listed limits, with several seeds each.
@@ -91,22 +91,22 @@
 
 TEST(ColdFleet, AllLearnOfTheReturnAtOnce) {
   for (auto outage : {OutageKind::refuses_connections, OutageKind::hangs})
-    for (bool turns_away_excess : {false, true}) {
+    for (bool rejects_excess : {false, true}) {
       TestCase test_case{outage, true};
-      test_case.turns_away_excess = turns_away_excess;
-      expect_within_budget(test_case, Bound::no_span_over);
+      test_case.rejects_excess = rejects_excess;
+      expect_within_budget(test_case, Bound::no_window_over);
     }
 }
 
 TEST(ColdFleet, SomeRelaysNeverLearnOfTheOutage) {
   expect_within_budget({OutageKind::refuses_connections, false, 0.2}, Bound::rule);
   for (auto outage : {OutageKind::refuses_connections, OutageKind::hangs})
-    expect_within_budget({outage, true, 0.2}, Bound::no_span_over);
+    expect_within_budget({outage, true, 0.2}, Bound::no_window_over);
 }
 
 TEST(ColdFleet, OneRestartsDuringTheReturn) {
   for (auto outage : {OutageKind::refuses_connections, OutageKind::hangs})
-    for (auto restart : {RestartOfOne::forgets, RestartOfOne::remembers})
+    for (auto restart : {RestartOfOne::storage_lost, RestartOfOne::storage_kept})
       expect_within_budget({outage, true, 0, restart}, Bound::rule);
 }
 
@@ -117,8 +117,8 @@
 }
 
 TEST(ColdFleet, DestinationThatRefusesAll) {
-  for (bool relays_talk : {false, true})
-    expect_within_budget({OutageKind::refuses_calls, relays_talk}, Bound::rule);
+  for (bool relays_gossip : {false, true})
+    expect_within_budget({OutageKind::refuses_calls, relays_gossip}, Bound::rule);
 }
 
 // Seeds with which a fault of the decision module once overloaded the destination. Their scenarios stay as
--- a/tests/model/model_test.cpp
+++ b/tests/model/model_test.cpp
@@ -17,7 +17,7 @@
 
 // Sends each peer an increasing number every 20 ms, restarting with each connection that it dialled, and
 // receives those of the others.
-struct Counting : Process {
+struct CountingProcess : Process {
   std::function<void(fleet::MemberId from, std::uint64_t number)> on_received;
   std::function<void(fleet::MemberId peer, bool up)> on_link;
   std::map<fleet::MemberId, std::uint64_t> sent;
@@ -53,13 +53,13 @@
   std::map<std::pair<int, fleet::MemberId>, std::uint64_t> last;  // received over the newest connection
   std::map<std::pair<int, fleet::MemberId>, bool> up;
   std::map<std::pair<int, int>, Millis> last_at;
-  int received = 0, downs = 0, kills = 0, again = 0;
+  int received = 0, downs = 0, kills = 0, sequence_restarts = 0;
   std::unique_ptr<Process> boot(World& world, int index, const std::any&, Millis) override {
-    auto counting = std::make_unique<Counting>();
-    for (auto& [at, number] : last)
-      if (at.first == index) number = 0;
-    for (auto& [at, is_up] : up)
-      if (at.first == index) is_up = false;
+    auto counting = std::make_unique<CountingProcess>();
+    for (auto& [key, number] : last)
+      if (key.first == index) number = 0;
+    for (auto& [key, is_up] : up)
+      if (key.first == index) is_up = false;
     counting->on_link = [this, index](fleet::MemberId peer, bool is_up) {
       EXPECT_NE((up[{index, peer}]), is_up);
       up[{index, peer}] = is_up, downs += !is_up;
@@ -67,11 +67,11 @@
     counting->on_received = [this, index, &world](fleet::MemberId from, std::uint64_t number) {
       ++received;
       last_at[{world.index_of(from), index}] = world.now();
-      auto& before = last[{index, from}];
-      EXPECT_TRUE(number == before + 1 || number == 1)
+      auto& previous = last[{index, from}];
+      EXPECT_TRUE(number == previous + 1 || number == 1)
           << "a message was lost, duplicated or reordered within a connection";
-      again += number == 1 && before > 0;
-      before = number;
+      sequence_restarts += number == 1 && previous > 0;
+      previous = number;
     };
     return counting;
   }
@@ -93,7 +93,7 @@
     world.run();
     EXPECT_GT(workload.received, 1000);
     downs += workload.downs, kills += workload.kills;
-    EXPECT_LE(workload.again, workload.downs + 3 * workload.kills);
+    EXPECT_LE(workload.sequence_restarts, workload.downs + 3 * workload.kills);
     for (const auto& [link, at] : workload.last_at) {
       bool both = world.is_running(link.first) && world.is_running(link.second);
       EXPECT_TRUE(!both || at > world.now() - 500)
@@ -144,7 +144,7 @@
   struct Tally : Workload {
     std::map<std::uint64_t, int> times;
     std::unique_ptr<Process> boot(World&, int index, const std::any&, Millis) override {
-      auto counting = std::make_unique<Counting>();
+      auto counting = std::make_unique<CountingProcess>();
       counting->on_link = [](fleet::MemberId, bool) {};
       counting->on_received = [this, index](fleet::MemberId, std::uint64_t number) {
         times[number] += index == 0;
@@ -156,10 +156,10 @@
   config.members = 3, config.datagrams = true, config.loss_rate = 0.2, config.duplication_rate = 0.2;
   World world(config, 7, {}, workload, false);
   world.run();
-  int lost = 0, more = 0;
-  for (const auto& [number, times] : workload.times) lost += times<2, more += times> 2;
+  int lost = 0, duplicated = 0;
+  for (const auto& [number, times] : workload.times) lost += times<2, duplicated += times> 2;
   EXPECT_GT(lost, 50);
-  EXPECT_GT(more, 50);
+  EXPECT_GT(duplicated, 50);
 }
 
 TEST(Model, SameSeedSameTraceByteForByte) {
@@ -212,25 +212,26 @@
 // Each check finds the fault injected for it, and reports it under its own name.
 class Plant : public testing::TestWithParam<std::tuple<std::string, std::string, std::string>> {};
 TEST_P(Plant, IsFound) {
-  const auto& [name, plant, check] = GetParam();
+  const auto& [name, injected_fault, check] = GetParam();
   auto part = std::find_if(parts().begin(), parts().end(), [&](const Part& one) { return one.name == name; });
   RunOptions options;
-  options.injected_fault = plant;
+  options.injected_fault = injected_fault;
   std::set<std::string> found;
   run_seeds(*part, 1, 300, options, 4, [&](const RunResult& result) {
     if (!result.holds) found.insert(result.check);
     return found.count(check) == 0;
   });
-  EXPECT_TRUE(found.count(check)) << plant << " is not found by " << check;
+  EXPECT_TRUE(found.count(check)) << injected_fault << " is not found by " << check;
 }
-std::vector<std::tuple<std::string, std::string, std::string>> all_plants() {
+std::vector<std::tuple<std::string, std::string, std::string>> all_injected_faults() {
   std::vector<std::tuple<std::string, std::string, std::string>> all;
   for (const auto& part : parts())
-    for (const auto& [plant, check] : part.injected_faults) all.emplace_back(part.name, plant, check);
+    for (const auto& [injected_fault, check] : part.injected_faults)
+      all.emplace_back(part.name, injected_fault, check);
   return all;
 }
 GTEST_ALLOW_UNINSTANTIATED_PARAMETERIZED_TEST(Plant);
-INSTANTIATE_TEST_SUITE_P(Model, Plant, testing::ValuesIn(all_plants()), [](const auto& info) {
+INSTANTIATE_TEST_SUITE_P(Model, Plant, testing::ValuesIn(all_injected_faults()), [](const auto& info) {
   auto name = std::get<0>(info.param) + "_" + std::get<1>(info.param);
   std::replace(name.begin(), name.end(), '-', '_');
   return name;
