--- a/src/model/custody.cpp
+++ b/src/model/custody.cpp
@@ -20,7 +20,7 @@
 using fleet::GlobalDocId;
 using fleet::MemberId;
 
-constexpr Millis lease = 2000, copy_timeout = 200, lifetime = 15000;
+constexpr Millis lease = 2000, replication_timeout = 200, lifetime = 15000;
 constexpr Millis settle_time = 20000 + lifetime;
 constexpr Millis replica_recovery_time = 10000;  // a lost replica is replaced by then
 // Where no loss is allowed, there is no other fault within this time before a kill.
@@ -93,7 +93,7 @@
   void begin(World& world) override {
     nodes_.resize(world.machines());
     RandomSource random(hash_values(world.seed(), 0x51));
-    wait_for_copies_ = random.bernoulli(0.75);
+    wait_for_replica_ = random.bernoulli(0.75);
     int count = 30 + random.uniform_below(world.config().members > 30 ? 60 : 150);
     for (int i = 0; i < count; ++i) {
       ExpectedDocument doc;
@@ -112,24 +112,30 @@
     auto& machine = world.machine(index);
     auto self = world.roster()[machine.member].id;
     auto node = std::make_unique<CustodyNode>();
-    auto* raw = nodes_[index] = node.get();
+    auto* node_pointer = nodes_[index] = node.get();
     if (const auto* storage = std::any_cast<Storage>(&stored)) node->storage = *storage;
-    node->custody = Custody::make(world.roster(), self, machine.incarnation,
-                                  {lease, world.config().max_clock_drift, copy_timeout, wait_for_copies_},
-                                  hash_values(world.seed(), 0x52, index, machine.boots));
-    node->recover = [this, &world, index, raw, incarnation = machine.incarnation] {
-      auto& custody = *raw->custody;
-      for (const auto& one : raw->storage.incarnations) custody.add_past_incarnation(one);
-      raw->storage.incarnations.insert(incarnation);
-      for (const auto& [group, group_state] : raw->storage.group_states) custody.restore_group(group_state);
-      for (const auto& [number, doc] : raw->storage.docs) {
-        raw->numbers[doc.id] = number;
-        custody.restore_document(document_state_of(world, doc), raw->storage.last_number);
+    node->custody =
+        Custody::make(world.roster(), self, machine.incarnation,
+                      {lease, world.config().max_clock_drift, replication_timeout, wait_for_replica_},
+                      hash_values(world.seed(), 0x52, index, machine.boots));
+    node->recover = [this, &world, index, node_pointer, incarnation = machine.incarnation] {
+      auto& custody = *node_pointer->custody;
+      for (const auto& one : node_pointer->storage.incarnations) custody.add_past_incarnation(one);
+      node_pointer->storage.incarnations.insert(incarnation);
+      for (const auto& [group, group_state] : node_pointer->storage.group_states)
+        custody.restore_group(group_state);
+      for (const auto& [number, doc] : node_pointer->storage.docs) {
+        node_pointer->numbers[doc.id] = number;
+        custody.restore_document(document_state_of(world, doc), node_pointer->storage.last_number);
       }
       custody.set_has_capacity(true);
     };
-    raw->on_task = [this, &world, index](std::uint64_t task) { run_step(world, index, steps_[task]); };
-    raw->on_actions = [this, &world, index](const auto& actions) { apply_actions(world, index, actions); };
+    node_pointer->on_task = [this, &world, index](std::uint64_t task) {
+      run_step(world, index, steps_[task]);
+    };
+    node_pointer->on_actions = [this, &world, index](const auto& actions) {
+      apply_actions(world, index, actions);
+    };
     auto membership_seed = hash_values(world.seed(), 0x41, index, machine.boots);
     return std::make_unique<MemberProcess>(
         fleet::Membership::make(world.roster(), self, machine.incarnation, membership_seed), std::move(node));
@@ -171,7 +177,7 @@
     for (std::size_t i = 0; i < docs_.size(); ++i) {
       const auto& doc = docs_[i];
       accepted += doc.accepted;
-      if (!no_loss_allowed_ || !wait_for_copies_ || !doc.accepted || doc.has_ended()) continue;
+      if (!no_loss_allowed_ || !wait_for_replica_ || !doc.accepted || doc.has_ended()) continue;
       std::string holders;
       for (int p = 0; p < world.machines(); ++p)
         if (world.is_running(p))
@@ -189,7 +195,7 @@
                              docs_.size());
     if (!options_.samples) return;
     auto size =
-        std::to_string(world.config().members) + " members" + (wait_for_copies_ ? "" : ", not waiting");
+        std::to_string(world.config().members) + " members" + (wait_for_replica_ ? "" : ", not waiting");
     for (auto& [name, list] : samples_) {
       auto& all = (*options_.samples)[name + ", " + size];
       all.insert(all.end(), list.begin(), list.end());
@@ -476,7 +482,7 @@
   std::vector<ExpectedDocument> docs_;
   std::vector<Step> steps_;
   Samples samples_;
-  bool wait_for_copies_ = true, no_loss_allowed_ = false, kills_only_ = false;
+  bool wait_for_replica_ = true, no_loss_allowed_ = false, kills_only_ = false;
 };
 
 RunConfig draw_config(RandomSource& random, int relays) {
--- a/src/model/latest.cpp
+++ b/src/model/latest.cpp
@@ -139,17 +139,19 @@
     auto& machine = world.machine(index);
     auto self = world.roster()[machine.member].id;
     auto node = std::make_unique<LatestNode>();
-    auto* raw = nodes_[index] = node.get();
-    raw->files = std::make_shared<FileContents>();
-    if (const auto* files = std::any_cast<FileContents>(&stored)) *raw->files = *files;
-    raw->wall_clock = [&world, index] { return std::floor(world.wall_time(index)); };
-    raw->open = [this, &world, index, raw, self, boots = machine.boots](Millis now) {
+    auto* node_pointer = nodes_[index] = node.get();
+    node_pointer->files = std::make_shared<FileContents>();
+    if (const auto* files = std::any_cast<FileContents>(&stored)) *node_pointer->files = *files;
+    node_pointer->wall_clock = [&world, index] { return std::floor(world.wall_time(index)); };
+    node_pointer->open = [this, &world, index, node_pointer, self, boots = machine.boots](Millis now) {
       return std::make_unique<peer::PersistentLog>(
-          std::make_unique<MemoryFiles>(raw->files), "log", world.roster(), self, settings_, cache_bytes,
-          hash_values(world.seed(), 0x62, index, boots), now, raw->wall_clock());
+          std::make_unique<MemoryFiles>(node_pointer->files), "log", world.roster(), self, settings_,
+          cache_bytes, hash_values(world.seed(), 0x62, index, boots), now, node_pointer->wall_clock());
     };
-    raw->on_task = [this, &world, index](std::uint64_t task) { run_step(world, index, steps_[task]); };
-    raw->on_actions = [this, &world, index](auto& actions) { apply_actions(world, index, actions); };
+    node_pointer->on_task = [this, &world, index](std::uint64_t task) {
+      run_step(world, index, steps_[task]);
+    };
+    node_pointer->on_actions = [this, &world, index](auto& actions) { apply_actions(world, index, actions); };
     auto membership_seed = hash_values(world.seed(), 0x41, index, machine.boots);
     return std::make_unique<MemberProcess>(
         fleet::Membership::make(world.roster(), self, machine.incarnation, membership_seed), std::move(node));
--- a/src/model/main.cpp
+++ b/src/model/main.cpp
@@ -140,13 +140,14 @@
       if (failed_runs++ == 0) first_failure = result;
       return keep_going;
     });
-    for (const auto& [check, found] : failures) {
+    for (const auto& [check, failure] : failures) {
       holds = false;
-      auto shrunk = shrink(*part, found.second, run_options);
+      auto shrunk = shrink(*part, failure.second, run_options);
       std::printf("broken: %s seed %llu, %s: %s\n", part->name.c_str(),
-                  static_cast<unsigned long long>(found.second.seed), check.c_str(), shrunk.details.c_str());
+                  static_cast<unsigned long long>(failure.second.seed), check.c_str(),
+                  shrunk.details.c_str());
       if (keep_going)
-        std::printf("  found in %d of %llu runs\n", found.first, static_cast<unsigned long long>(runs));
+        std::printf("  found in %d of %llu runs\n", failure.first, static_cast<unsigned long long>(runs));
       std::printf("%s", failure_report(shrunk).c_str());
     }
     std::printf("%s: %llu runs, %llu events, digest %016llx, %s\n", part->name.c_str(),
--- a/src/model/registers.cpp
+++ b/src/model/registers.cpp
@@ -186,15 +186,15 @@
     auto seed = hash_values(world.seed(), 0x42, index, machine.boots);
     auto registers = fleet::Registers::make(self, machine.incarnation, world.config().members, seed);
     auto node = std::make_unique<RegistersNode>(std::move(registers), options_.injected_fault, index);
-    if (const auto* saved = std::any_cast<StoredRegisters>(&stored)) {
-      node->restored = saved->records, node->downtime = world.now() - saved->at;
-      for (const auto& record : saved->records)
+    if (const auto* stored_registers = std::any_cast<StoredRegisters>(&stored)) {
+      node->restored = stored_registers->records, node->downtime = world.now() - stored_registers->at;
+      for (const auto& record : stored_registers->records)
         if (record.kind == RegisterKind::retry_after) {
-          auto end = saved->at + (record.duration - record.age) / machine.rate;
+          auto end = stored_registers->at + (record.duration - record.age) / machine.rate;
           auto& restored_waits = view.restored_waits[subject_of(record)];
           restored_waits = std::max(restored_waits, end);
         }
-      view.saved_at = saved->at;
+      view.saved_at = stored_registers->at;
     }
     // Once it reports that it has caught up, it has to know the waits that all others know now.
     for (auto& [subject, waits] : waits_) {
@@ -202,15 +202,17 @@
       bool known_by_all = end > world.now();
       for (int i = 0; i < world.machines(); ++i)
         if (i != index && world.is_running(i))
-          known_by_all = known_by_all && known_end(world, i, subject) >= end - drift_allowance(end, 0);
+          known_by_all = known_by_all && known_wait_end(world, i, subject) >= end - drift_allowance(end, 0);
       if (known_by_all) view.must_know[subject] = end;
     }
-    auto* raw = node.get();
-    view.node = raw;
-    raw->on_task = [this, &world, index](std::uint64_t task) {
+    auto* node_pointer = node.get();
+    view.node = node_pointer;
+    node_pointer->on_task = [this, &world, index](std::uint64_t task) {
       apply_observation(world, index, observations_[task]);
     };
-    raw->on_actions = [this, &world, index](const auto& actions) { check_actions(world, index, actions); };
+    node_pointer->on_actions = [this, &world, index](const auto& actions) {
+      check_actions(world, index, actions);
+    };
     auto membership_seed = hash_values(world.seed(), 0x41, index, machine.boots);
     return std::make_unique<MemberProcess>(
         fleet::Membership::make(world.roster(), self, machine.incarnation, membership_seed), std::move(node));
@@ -251,7 +253,7 @@
       if (options_.samples && view.booted > formation_time)
         samples_["ms from a start until caught up"].push_back(world.now() - view.booted);
       for (const auto& [subject, end] : view.must_know)
-        if (end > world.now() + 200 && known_end(world, i, subject) < end - drift_allowance(end, 0))
+        if (end > world.now() + 200 && known_wait_end(world, i, subject) < end - drift_allowance(end, 0))
           world.report_violation(
               "caught-up-early",
               "member %d reports that it has caught up and does not know of a wait that all others knew", i);
@@ -277,10 +279,10 @@
       for (const auto& [subject, waits] : waits_) {
         auto end = latest_wait_end(subject);
         if (end <= world.now() + 500 || !still_known(world, subject, end)) continue;
-        if (known_end(world, i, subject) < end - drift_allowance(end, 0))
+        if (known_wait_end(world, i, subject) < end - drift_allowance(end, 0))
           world.report_violation("wait-known",
                                  "member %d does not know of a wait on %d for %.0f ms more, %.0f known", i,
-                                 subject, end - world.now(), known_end(world, i, subject) - world.now());
+                                 subject, end - world.now(), known_wait_end(world, i, subject) - world.now());
       }
       for (const auto& [endpoint, offline] : node.offline_endpoints)
         if (offline != node_views_[first_index].node->offline_endpoints[endpoint])
@@ -361,7 +363,7 @@
       for (const auto& wait : found->second) end = std::max(end, wait.end);
     return end;
   }
-  Millis known_end(const World& world, int index, int subject) {
+  Millis known_wait_end(const World& world, int index, int subject) {
     auto* node = node_views_[index].node;
     if (!node) return 0;
     auto found = node->routes.find(subject);
@@ -372,7 +374,8 @@
   // Whether any running member knows of the wait.
   bool still_known(World& world, int subject, Millis end) {
     for (int i = 0; i < world.machines(); ++i)
-      if (world.is_running(i) && known_end(world, i, subject) >= end - drift_allowance(end, 0)) return true;
+      if (world.is_running(i) && known_wait_end(world, i, subject) >= end - drift_allowance(end, 0))
+        return true;
     return false;
   }
 
@@ -489,7 +492,7 @@
     if (view.first_turn) {
       view.first_turn = false;
       for (const auto& [subject, end] : view.restored_waits) {
-        auto known_until = known_end(world, index, subject);
+        auto known_until = known_wait_end(world, index, subject);
         if (end < world.now() + 5) continue;
         if (std::abs(known_until - end) > drift_allowance(end, view.saved_at) + rounding)
           world.report_violation("kept", "member %d restarted and its wait on %d ends %.0f ms off", index,
@@ -500,7 +503,7 @@
       if (!update.uninformed.count(index)) continue;
       const auto& observation = update.observation;
       bool knows = observation.kind == RegisterKind::retry_after
-                       ? known_end(world, index, observation.subject) >=
+                       ? known_wait_end(world, index, observation.subject) >=
                              update.end - drift_allowance(update.end, update.at)
                    : observation.kind == RegisterKind::outage
                        ? node.routes[observation.subject].state == observation.state
--- a/src/model/run.cpp
+++ b/src/model/run.cpp
@@ -105,7 +105,7 @@
   std::atomic<std::uint64_t> next = first;
   std::atomic<bool> stop = false;
   std::mutex mutex;
-  std::map<std::uint64_t, std::pair<RunResult, Samples>> ready;
+  std::map<std::uint64_t, std::pair<RunResult, Samples>> finished_runs;
   std::uint64_t next_reported = first;
   auto work = [&] {
     for (;;) {
@@ -116,15 +116,16 @@
       seed_options.samples = options.samples ? &samples : nullptr;
       auto result = run_seed(part, seed, seed_options, false);
       std::lock_guard lock(mutex);
-      ready.emplace(seed, std::pair(std::move(result), std::move(samples)));
-      for (auto it = ready.find(next_reported); it != ready.end() && !stop; it = ready.find(next_reported)) {
+      finished_runs.emplace(seed, std::pair(std::move(result), std::move(samples)));
+      for (auto it = finished_runs.find(next_reported); it != finished_runs.end() && !stop;
+           it = finished_runs.find(next_reported)) {
         if (options.samples)
           for (auto& [name, list] : it->second.second) {
             auto& all = (*options.samples)[name];
             all.insert(all.end(), list.begin(), list.end());
           }
         if (!on_result(it->second.first)) stop = true;
-        ready.erase(it), ++next_reported;
+        finished_runs.erase(it), ++next_reported;
       }
     }
   };
