--- a/src/model/custody.cpp
+++ b/src/model/custody.cpp
@@ -20,7 +20,7 @@
 using fleet::GlobalDocId;
 using fleet::MemberId;
 
-constexpr Millis lease = 2000, copy_timeout = 200, lifetime = 15000;
+constexpr Millis lease = 2000, replication_timeout = 200, lifetime = 15000;
 constexpr Millis settle_time = 20000 + lifetime;
 constexpr Millis replica_recovery_time = 10000;  // a lost replica is replaced by then
 // Where no loss is allowed, there is no other fault within this time before a kill.
@@ -93,7 +93,7 @@
   void begin(World& world) override {
     nodes_.resize(world.machines());
     RandomSource random(hash_values(world.seed(), 0x51));
-    wait_for_copies_ = random.bernoulli(0.75);
+    wait_for_replica_ = random.bernoulli(0.75);
     int count = 30 + random.uniform_below(world.config().members > 30 ? 60 : 150);
     for (int i = 0; i < count; ++i) {
       ExpectedDocument doc;
@@ -112,24 +112,30 @@
     auto& machine = world.machine(index);
     auto self = world.roster()[machine.member].id;
     auto node = std::make_unique<CustodyNode>();
-    auto* raw = nodes_[index] = node.get();
+    auto* node_pointer = nodes_[index] = node.get();
     if (const auto* storage = std::any_cast<Storage>(&stored)) node->storage = *storage;
-    node->custody = Custody::make(world.roster(), self, machine.incarnation,
-                                  {lease, world.config().max_clock_drift, copy_timeout, wait_for_copies_},
-                                  hash_values(world.seed(), 0x52, index, machine.boots));
-    node->recover = [this, &world, index, raw, incarnation = machine.incarnation] {
-      auto& custody = *raw->custody;
-      for (const auto& one : raw->storage.incarnations) custody.add_past_incarnation(one);
-      raw->storage.incarnations.insert(incarnation);
-      for (const auto& [group, group_state] : raw->storage.group_states) custody.restore_group(group_state);
-      for (const auto& [number, doc] : raw->storage.docs) {
-        raw->numbers[doc.id] = number;
-        custody.restore_document(document_state_of(world, doc), raw->storage.last_number);
+    node->custody =
+        Custody::make(world.roster(), self, machine.incarnation,
+                      {lease, world.config().max_clock_drift, replication_timeout, wait_for_replica_},
+                      hash_values(world.seed(), 0x52, index, machine.boots));
+    node->recover = [this, &world, index, node_pointer, incarnation = machine.incarnation] {
+      auto& custody = *node_pointer->custody;
+      for (const auto& one : node_pointer->storage.incarnations) custody.add_past_incarnation(one);
+      node_pointer->storage.incarnations.insert(incarnation);
+      for (const auto& [group, group_state] : node_pointer->storage.group_states)
+        custody.restore_group(group_state);
+      for (const auto& [number, doc] : node_pointer->storage.docs) {
+        node_pointer->numbers[doc.id] = number;
+        custody.restore_document(document_state_of(world, doc), node_pointer->storage.last_number);
       }
       custody.set_has_capacity(true);
     };
-    raw->on_task = [this, &world, index](std::uint64_t task) { run_step(world, index, steps_[task]); };
-    raw->on_actions = [this, &world, index](const auto& actions) { apply_actions(world, index, actions); };
+    node_pointer->on_task = [this, &world, index](std::uint64_t task) {
+      run_step(world, index, steps_[task]);
+    };
+    node_pointer->on_actions = [this, &world, index](const auto& actions) {
+      apply_actions(world, index, actions);
+    };
     auto membership_seed = hash_values(world.seed(), 0x41, index, machine.boots);
     return std::make_unique<MemberProcess>(
         fleet::Membership::make(world.roster(), self, machine.incarnation, membership_seed), std::move(node));
@@ -138,7 +144,7 @@
   void on_process_end(World& world, int index) override {
     for (const auto& [number, doc] : nodes_[index]->storage.docs) {
       auto& expected = docs_[doc.doc];
-      if (expected.accepted && !expected.has_ended()) expected.owner_died = world.now();
+      if (expected.accepted && !expected.has_ended()) expected.owner_killed_at = world.now();
     }
     nodes_[index] = nullptr;
   }
@@ -171,25 +177,25 @@
     for (std::size_t i = 0; i < docs_.size(); ++i) {
       const auto& doc = docs_[i];
       accepted += doc.accepted;
-      if (!no_loss_allowed_ || !wait_for_copies_ || !doc.accepted || doc.has_ended()) continue;
-      std::string held;
+      if (!no_loss_allowed_ || !wait_for_replica_ || !doc.accepted || doc.has_ended()) continue;
+      std::string holders;
       for (int p = 0; p < world.machines(); ++p)
         if (world.is_running(p))
           for (const auto& [number, one] : nodes_[p]->storage.docs)
             if (one.doc == static_cast<int>(i)) {
-              held += " ";
-              held += std::to_string(p);
-              held += owns(*nodes_[p], one) ? " (owner)" : " (not owner)";
+              holders += " ";
+              holders += std::to_string(p);
+              holders += owns(*nodes_[p], one) ? " (owner)" : " (not owner)";
             }
       world.report_violation("lost", "document %zu was acknowledged at %.0f and has not ended; held by:%s", i,
-                             doc.accepted_at, held.empty() ? " no member" : held.c_str());
+                             doc.accepted_at, holders.empty() ? " no member" : holders.c_str());
     }
     if (world.faults().empty() && accepted * 20 < static_cast<int>(docs_.size()) * 19)
       world.report_violation("taken", "%d of %zu documents were accepted in a run without faults", accepted,
                              docs_.size());
     if (!options_.samples) return;
     auto size =
-        std::to_string(world.config().members) + " members" + (wait_for_copies_ ? "" : ", not waiting");
+        std::to_string(world.config().members) + " members" + (wait_for_replica_ ? "" : ", not waiting");
     for (auto& [name, list] : samples_) {
       auto& all = (*options_.samples)[name + ", " + size];
       all.insert(all.end(), list.begin(), list.end());
@@ -200,7 +206,7 @@
 
  private:
   struct ExpectedDocument {
-    Millis at = 0, expiry = 0, accepted_at = 0, owner_died = -1;
+    Millis at = 0, expiry = 0, accepted_at = 0, owner_killed_at = -1;
     int index = 0;
     bool non_repeatable = false, accepted = false, rejected = false, delivered = false, end_recorded = false;
     std::string reported_end;
@@ -217,19 +223,21 @@
 
   // True where kills don't overlap and no link is cut and no process stalled around any of them.
   bool kills_are_isolated(const World& world) const {
-    Millis free = 0;
+    Millis next_kill_from = 0;
     int permanent_kills = 0;
     for (const auto& kill : world.faults()) {
       if (kill.kind != Fault::Kind::kill) continue;
-      if (kill.at < free) return false;
+      if (kill.at < next_kill_from) return false;
       auto until = (kill.until < 0 ? kill.at : kill.until) + replica_recovery_time;
       permanent_kills += kill.until < 0;
       if (world.config().members - permanent_kills < 3) until = world.config().end;
-      free = until;
+      next_kill_from = until;
       for (const auto& other : world.faults()) {
         using Kind = Fault::Kind;
-        bool stops = other.kind == Kind::cut || other.kind == Kind::partition || other.kind == Kind::stall;
-        if (stops && other.at < until && other.until > kill.at - quiet_before_kill) return false;
+        bool interrupts_messages =
+            other.kind == Kind::cut || other.kind == Kind::partition || other.kind == Kind::stall;
+        if (interrupts_messages && other.at < until && other.until > kill.at - quiet_before_kill)
+          return false;
       }
     }
     return true;
@@ -410,8 +418,8 @@
   void record_end(World& world, int number) {
     auto& expected = docs_[number];
     if (std::exchange(expected.end_recorded, true)) return;
-    if (options_.samples && expected.owner_died >= 0 && kills_only_)
-      samples_["ms from a kill to an owed document's end"].push_back(world.now() - expected.owner_died);
+    if (options_.samples && expected.owner_killed_at >= 0 && kills_only_)
+      samples_["ms from a kill to an owed document's end"].push_back(world.now() - expected.owner_killed_at);
   }
 
   void apply_actions(World& world, int index, const Custody::Actions& actions) {
@@ -464,8 +472,8 @@
     world.trace_line("member %d %s document %d with %zu transmissions in doubt", index,
                      taken_over ? "takes over" : "resumes", doc.doc, state.in_doubt.size());
     check_sole_owner(world, index, doc.doc, taken_over ? "takes over" : "resumes");
-    if (taken_over && options_.samples && kills_only_ && expected.owner_died >= 0)
-      samples_["ms from a kill to a take-over"].push_back(world.now() - expected.owner_died);
+    if (taken_over && options_.samples && kills_only_ && expected.owner_killed_at >= 0)
+      samples_["ms from a kill to a take-over"].push_back(world.now() - expected.owner_killed_at);
     schedule_processing(world, index, number);
   }
 
@@ -474,7 +482,7 @@
   std::vector<ExpectedDocument> docs_;
   std::vector<Step> steps_;
   Samples samples_;
-  bool wait_for_copies_ = true, no_loss_allowed_ = false, kills_only_ = false;
+  bool wait_for_replica_ = true, no_loss_allowed_ = false, kills_only_ = false;
 };
 
 RunConfig draw_config(RandomSource& random, int relays) {
